--- a/src/main/java/beechseam/ClassRunTimes.java
+++ b/src/main/java/beechseam/ClassRunTimes.java
@@ -14,6 +14,7 @@
     private final boolean worthByWork;
     /** The mean logarithm of run times and their mean, in nanoseconds, and of how many runs. */
     double logRun;
+
     double meanRunNs;
     double runs;
     /** The mean of the slots that a job needs. */
@@ -22,6 +23,7 @@
     double longestBudgetNs;
     /** The mean logarithm of hints, how it varies and varies with run times, and of how many hints. */
     private double logHint;
+
     private double hintVariance;
     private double hintCovariance;
     private double hints;
@@ -39,8 +41,8 @@
             return logRun;
         }
         double hint = Math.log(job.workNs());
-        double trust = (HINT_TRUST + hints * (hintVariance > 0 ? hintCovariance / hintVariance : 1))
-            / (HINT_TRUST + hints);
+        double trust =
+                (HINT_TRUST + hints * (hintVariance > 0 ? hintCovariance / hintVariance : 1)) / (HINT_TRUST + hints);
         return hints == 0 ? hint : logRun + Math.max(0, Math.min(1, trust)) * (hint - logHint);
     }
 
--- a/src/main/java/beechseam/Dispatcher.java
+++ b/src/main/java/beechseam/Dispatcher.java
@@ -1,5 +1,6 @@
 package beechseam;
 
+import beechseam.Dispatching.*;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,7 +9,6 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.stream.DoubleStream;
-import beechseam.Dispatching.*;
 
 /**
  * The decision module: speed-scaled least-loaded dispatch (eLL), one dispatcher. Interface: Dispatching.java,
@@ -30,11 +30,13 @@
     private static final double PI_SHRINK = 4;
     /** Share of a job's slack that may pass waiting at a worker; of the slack of a class of more worth. */
     private static final double QUEUE_SHARE = 0.7;
+
     private static final double YIELD_SHARE = 0.5;
     /** Share of a worker's slots that a less worthy class leaves to the worthier. */
     private static final double RESERVE = 0.1;
     /** A doubted worker's sf is raised at most so much, and the doubt fades by e in this time. */
     private static final double MAX_DOUBT = 16;
+
     private static final double DOUBT_FADE_NS = 4e9;
     /** Doubt above which an answered probe takes back half of it. */
     private static final double FIRM_DOUBT = 4;
@@ -44,16 +46,19 @@
     private static final double COLD_SURPRISE = 1.25;
     /** Copies and repeats for each job taken, and the most that all dispatchers together save up. */
     private static final double REPEATS_PER_JOB = 0.1;
+
     private static final double REPEATS_SAVED = 20;
     /** How the price of a crossing or a new connection, by the job's worth, counts as load of each slot. */
     private static final double TOLL_LOAD = 8;
     /** The tick is this share of the shortest aim, but not below a least. */
     private static final long MIN_TICK_NS = 20_000_000L;
+
     private static final int TICKS_PER_AIM = 8;
     /** What probing may cost for each job taken, in the points that the settings price it at. */
     private static final double PROBE_SPEND = 0.003;
     /** Of many dispatchers each draws so many workers at random for a job, by what they can do. */
     private static final int DRAWN = 2;
+
     private static final int TRIES = 24;
     /** A worker of another zone is drawn the less by this, times what a crossing costs of the mean worth. */
     private static final double FAR = 100;
@@ -65,6 +70,7 @@
     private static final double FORGOTTEN = 30;
     /** How far back own sends are remembered to date a report; no report is taken to be older. */
     private static final double HISTORY_NS = 4e9;
+
     private static final long LOG_GAP_NS = 5_000_000_000L;
 
     private static final long TICK = 1;
@@ -85,6 +91,7 @@
     private final List<Member> ready = new ArrayList<>(), colds = new ArrayList<>();
     /** Workers that have ended an attempt; some may have no open connection any more. */
     private final List<Member> used = new ArrayList<>();
+
     private final ClassRunTimes[] stats;
 
     private long now, bornAt;
@@ -203,8 +210,9 @@
             m.kind.slots = m.slots;
             slotsOfAny = m.slots;
         }
-        double inFlight = free < none ? Math.max(running, m.slots - free)
-            : Double.isNaN(load.held()) ? or(load.utilization(), 0) * m.slots : running;
+        double inFlight = free < none
+                ? Math.max(running, m.slots - free)
+                : Double.isNaN(load.held()) ? or(load.utilization(), 0) * m.slots : running;
         double nrl = inFlight + queue * meanNeed;
         told(m, nrl);
     }
@@ -283,8 +291,7 @@
 
     /** What sending the job there costs for crossing zones, as a share of the job's worth. */
     private double crossing(Held h, Member m) {
-        return m.info.zone().equals(settings.zone()) ? 0
-            : settings.crossZonePrice() * priceWeight(h);
+        return m.info.zone().equals(settings.zone()) ? 0 : settings.crossZonePrice() * priceWeight(h);
     }
 
     /** The mean job's worth relative to this one's: what a price weighs for it. */
@@ -387,8 +394,12 @@
     // ---- Placement
 
     private boolean suits(Held h, Member m) {
-        return m.usable() && (h.of.kind() == null || h.of.kind().equals(m.info.kind())) && !tried(h, m)
-            && !(m.slotsKnown && h.need > m.slots) && groupAllows(h, m) && coldBudgetAllows(m, h);
+        return m.usable()
+                && (h.of.kind() == null || h.of.kind().equals(m.info.kind()))
+                && !tried(h, m)
+                && !(m.slotsKnown && h.need > m.slots)
+                && groupAllows(h, m)
+                && coldBudgetAllows(m, h);
     }
 
     /** The suitable worker of lowest el, least recently used on ties; null when all exceed the threshold. */
@@ -459,7 +470,7 @@
     /** The worker at this place in the sum of capacities; O(log n). */
     private Member readyAt(double at) {
         int low = 0;
-        for (int high = ready.size() - 1; low < high;) {
+        for (int high = ready.size() - 1; low < high; ) {
             int middle = (low + high) / 2;
             if (ready.get(middle).capacityTo < at) {
                 low = middle + 1;
@@ -511,8 +522,9 @@
         double over = Math.max(0, rawLoad(m) + (copy ? h.need : seen * (h.need + reserve)) - m.slots);
         double wait = expectedWait(m, over);
         if (copy) {
-            return over == 0 && (!limits.probes() || now - m.reportAt <= 2 * reportGapNs)
-                && now + h.workNs * time <= h.aimAt;
+            return over == 0
+                    && (!limits.probes() || now - m.reportAt <= 2 * reportGapNs)
+                    && now + h.workNs * time <= h.aimAt;
         }
         return wait <= slack && (doubt < 1.5 || h.workNs * (time - 1) <= slack);
     }
@@ -546,7 +558,7 @@
 
     /** Places what waits, the most worth a unit of work first, then by latest start. */
     private void placeWaiting() {
-        for (int i = 0; i < waiting.size();) {
+        for (int i = 0; i < waiting.size(); ) {
             Held h = waiting.get(i);
             Member m = choose(h, candidates(h), false);
             if (m != null) {
@@ -612,8 +624,10 @@
         boolean again = h.firstMayHaveRun() != null;
         // Where copies are barred only a job that waited is taken back: it had not begun, and is no repeat.
         boolean charged = again && (limits.copies() || !h.attempts.get(h.attempts.size() - 1).cancelled);
-        if (again && h.of.effect() == Effect.UNSAFE || h.attempts.size() >= limits.maxAttempts() || expired(h)
-            || charged && repeats < 1) {
+        if (again && h.of.effect() == Effect.UNSAFE
+                || h.attempts.size() >= limits.maxAttempts()
+                || expired(h)
+                || charged && repeats < 1) {
             answer(h);
             return;
         }
@@ -629,8 +643,9 @@
     /** The final answer of what is not served: a refusal where a further try is sure to be harmless. */
     private void answer(Held h) {
         h.answered = true;
-        boolean harmless = h.firstMayHaveRun() == null || h.of.effect() == Effect.SAFE
-            || h.of.effect() == Effect.KEYED && h.of.group() == Group.ALL;
+        boolean harmless = h.firstMayHaveRun() == null
+                || h.of.effect() == Effect.SAFE
+                || h.of.effect() == Effect.KEYED && h.of.group() == Group.ALL;
         if (harmless) {
             refused++;
             actions.refuse(h.job.id(), limits.retryAfter() ? limits.maxRetryAfterNs() : 0);
@@ -676,8 +691,9 @@
 
     private Attempt attempt(long job, int number) {
         Held h = jobs.get(job);
-        return h == null || number < 0 || number >= h.attempts.size() || h.attempts.get(number).over ? null
-            : h.attempts.get(number);
+        return h == null || number < 0 || number >= h.attempts.size() || h.attempts.get(number).over
+                ? null
+                : h.attempts.get(number);
     }
 
     @Override
@@ -776,7 +792,7 @@
                 a.at.others = Math.max(a.at.others, a.at.slots + meanNeed);
                 doubt(a.at, doubt(a.at) * 1.5);
             }
-            default -> { }
+            default -> {}
         }
         if (h.answered) {
             cancelAll(h, null, false);
@@ -843,9 +859,12 @@
      */
     private void rescue(Held h) {
         boolean moves = !limits.copies() && limits.cancel();
-        if (h.answered || h.out != 1 || h.of.effect() == Effect.UNSAFE || h.streaming
-            || h.attempts.size() >= limits.maxAttempts()
-            || !moves && (!limits.copies() || repeats < 1 || copies < 1)) {
+        if (h.answered
+                || h.out != 1
+                || h.of.effect() == Effect.UNSAFE
+                || h.streaming
+                || h.attempts.size() >= limits.maxAttempts()
+                || !moves && (!limits.copies() || repeats < 1 || copies < 1)) {
             return;
         }
         Attempt a = h.attempts.get(h.attempts.size() - 1);
@@ -908,8 +927,8 @@
         long ready = members.values().stream().filter(Member::usable).count();
         if (doubted > 0 || refused > 0 || failed > 0) {
             loggedAt = now;
-            actions.log("ready " + ready + " doubted " + doubted + " waiting " + waiting.size()
-                + " refused " + refused + " failed " + failed + (listFailed ? " list out of reach" : ""));
+            actions.log("ready " + ready + " doubted " + doubted + " waiting " + waiting.size() + " refused " + refused
+                    + " failed " + failed + (listFailed ? " list out of reach" : ""));
             refused = 0;
             failed = 0;
         }
@@ -980,15 +999,19 @@
         double told = everReported ? 1 : 0;
         all.put("", new double[] {meanRunNs, runs, othersMean, reportGapNs, startLagNs, told});
         for (ClassRunTimes s : stats) {
-            all.put("class " + s.of.name(),
-                new double[] {s.logRun, s.meanRunNs, s.runs, s.meanNeed, s.longestBudgetNs});
+            all.put("class " + s.of.name(), new double[] {s.logRun, s.meanRunNs, s.runs, s.meanNeed, s.longestBudgetNs
+            });
         }
         kinds.forEach((name, k) -> all.put("kind " + name, new double[] {k.log, k.runs}));
         for (Member m : members.values()) { // to another dispatcher what is out from here is others' load
-            all.put("worker " + m.info.id(), new double[] {m.speed.log, m.speed.runs, m.slotsSeen, m.reports,
-                m.others + m.own, doubt(m)});
-            all.put("cold " + m.info.id(), m.coldSent.stream()
-                .flatMapToDouble(sent -> DoubleStream.of(now - sent[0], sent[1])).toArray());
+            all.put(
+                    "worker " + m.info.id(),
+                    new double[] {m.speed.log, m.speed.runs, m.slotsSeen, m.reports, m.others + m.own, doubt(m)});
+            all.put(
+                    "cold " + m.info.id(),
+                    m.coldSent.stream()
+                            .flatMapToDouble(sent -> DoubleStream.of(now - sent[0], sent[1]))
+                            .toArray());
         }
         return all;
     }
@@ -1049,8 +1072,10 @@
         for (Member m : limits.probes() ? members.values() : List.<Member>of()) {
             boolean soon = settings.reports() == Reports.PROBES || avoids(m);
             // One that answers no probe has no newer report: it has a pause all the same.
-            if (m.usable() && !m.probing && probes >= 1
-                && now - Math.max(m.reportAt, m.probeAt) > (soon ? 2 * reportGapNs : HISTORY_NS)) {
+            if (m.usable()
+                    && !m.probing
+                    && probes >= 1
+                    && now - Math.max(m.reportAt, m.probeAt) > (soon ? 2 * reportGapNs : HISTORY_NS)) {
                 probes--;
                 m.probing = true;
                 m.probeAt = now;
--- a/src/main/java/beechseam/PerformanceIndex.java
+++ b/src/main/java/beechseam/PerformanceIndex.java
@@ -9,9 +9,11 @@
 
     /** The mean logarithm, and of how many runs. */
     double log;
+
     double runs;
     /** The most weight that discovery gave one of a kind, and the slots that one has; 0 while not known. */
     double size;
+
     double slots;
 
     void set(double theLog, double theRuns) {
--- a/src/main/java/beechseam/cli/CheckConfig.java
+++ b/src/main/java/beechseam/cli/CheckConfig.java
@@ -26,15 +26,16 @@
         if (gearman != null) {
             GearmanConfig second = GearmanConfig.read(gearman);
             System.out.println("good: " + second.name() + " on " + second.listen() + ", "
-                + second.functions().size() + " functions");
+                    + second.functions().size() + " functions");
             if (!environment.containsKey("PROXY_CONFIG")) {
                 return 0;
             }
         }
         NodeConfig node = NodeConfig.of(environment);
         System.out.println("good: " + node.name() + " on " + node.listen() + ", "
-            + node.options().settings.classes().size() + " classes, " + node.known().servers().size()
-            + " servers known");
+                + node.options().settings.classes().size() + " classes, "
+                + node.known().servers().size()
+                + " servers known");
         return 0;
     }
 }
--- a/src/main/java/beechseam/cli/Conformance.java
+++ b/src/main/java/beechseam/cli/Conformance.java
@@ -110,8 +110,12 @@
     private static int report(List<Player.Result> results) {
         System.out.printf("%-30s %6s %6s%n", "packet", "cases", "passed");
         for (Map.Entry<Packet, int[]> each : Player.byPacket(results).entrySet()) {
-            System.out.printf("%-30s %6d %6d%s%n", each.getKey(), each.getValue()[0], each.getValue()[1],
-                each.getValue()[0] == each.getValue()[1] ? "" : "  <");
+            System.out.printf(
+                    "%-30s %6d %6d%s%n",
+                    each.getKey(),
+                    each.getValue()[0],
+                    each.getValue()[1],
+                    each.getValue()[0] == each.getValue()[1] ? "" : "  <");
         }
         long passed = results.stream().filter(Player.Result::passed).count();
         System.out.println(passed + " of " + results.size() + " cases passed");
--- a/src/main/java/beechseam/cli/FleetModel.java
+++ b/src/main/java/beechseam/cli/FleetModel.java
@@ -39,17 +39,30 @@
         if (!(scale > 0 && scale <= 100)) {
             throw new ConfigException("--scale", "must be over 0 and at most 100, not " + scale);
         }
-        int[] all = sizes.isEmpty() ? new int[] {3, 10, 100}
-            : sizes.stream().mapToInt(Integer::intValue).toArray();
-        List<Figures> figures = MembershipMeasure.play(MembershipMeasure.table(all, scale), seed,
-            f -> System.err.println("done: " + f.of()));
+        int[] all = sizes.isEmpty()
+                ? new int[] {3, 10, 100}
+                : sizes.stream().mapToInt(Integer::intValue).toArray();
+        List<Figures> figures = MembershipMeasure.play(
+                MembershipMeasure.table(all, scale), seed, f -> System.err.println("done: " + f.of()));
         System.out.println("nodes loss slow health | noticed p50 p99 | agreed p50 p99 s | false deaths,"
-            + " suspicions a node-hour | bytes/s messages/s a node | all joined s");
+                + " suspicions a node-hour | bytes/s messages/s a node | all joined s");
         for (Figures f : figures) {
-            System.out.printf(Locale.ROOT, "%5d %4.2f %4.2f %-6s | %6.2f %6.2f | %6.2f %6.2f | %8.3f %8.2f"
-                + " | %7.0f %5.2f | %5.1f%n", f.of().nodes(), f.of().loss(), f.of().slow(), f.of().health(),
-                f.noticed50(), f.noticed99(), f.agreed50(), f.agreed99(), f.falseDeaths(), f.suspicions(),
-                f.bytes(), f.messages(), f.joined());
+            System.out.printf(
+                    Locale.ROOT,
+                    "%5d %4.2f %4.2f %-6s | %6.2f %6.2f | %6.2f %6.2f | %8.3f %8.2f" + " | %7.0f %5.2f | %5.1f%n",
+                    f.of().nodes(),
+                    f.of().loss(),
+                    f.of().slow(),
+                    f.of().health(),
+                    f.noticed50(),
+                    f.noticed99(),
+                    f.agreed50(),
+                    f.agreed99(),
+                    f.falseDeaths(),
+                    f.suspicions(),
+                    f.bytes(),
+                    f.messages(),
+                    f.joined());
         }
         if (json != null) {
             Json.rows(Path.of(json), figures.stream().map(Figures::row).toList());
--- a/src/main/java/beechseam/cli/LoadGearman.java
+++ b/src/main/java/beechseam/cli/LoadGearman.java
@@ -25,12 +25,10 @@
     @Parameter(names = "--seconds", description = "How long each measurement lasts")
     private double seconds = 3;
 
-    @Parameter(names = "--sizes",
-        description = "Numbers of workers, or of queued jobs, in place of the usual ones")
+    @Parameter(names = "--sizes", description = "Numbers of workers, or of queued jobs, in place of the usual ones")
     private List<Integer> sizes = new ArrayList<>();
 
-    @Parameter(names = "--jvm",
-        description = "An option of the server's runtime, such as -Xmx1g; may be repeated")
+    @Parameter(names = "--jvm", description = "An option of the server's runtime, such as -Xmx1g; may be repeated")
     private List<String> jvm = new ArrayList<>();
 
     @Parameter(names = "--json", description = "Write the results to this file as well")
--- a/src/main/java/beechseam/cli/Logging.java
+++ b/src/main/java/beechseam/cli/Logging.java
@@ -16,11 +16,18 @@
  */
 final class Logging {
     /** The form of each record on standard error. */
-    enum Format { TEXT, JSON }
+    enum Format {
+        TEXT,
+        JSON
+    }
 
     /** What is told, from the most to the least. */
     enum Threshold {
-        TRACE(Level.FINER), DEBUG(Level.FINE), INFO(Level.INFO), WARNING(Level.WARNING), ERROR(Level.SEVERE),
+        TRACE(Level.FINER),
+        DEBUG(Level.FINE),
+        INFO(Level.INFO),
+        WARNING(Level.WARNING),
+        ERROR(Level.SEVERE),
         OFF(Level.OFF);
 
         private final Level level;
@@ -30,8 +37,7 @@
         }
     }
 
-    private Logging() {
-    }
+    private Logging() {}
 
     static void set(Format format, Threshold threshold) {
         if (format == Format.JSON) {
@@ -66,14 +72,15 @@
             appender.setEncoder(encoder);
             appender.start();
             ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-            root.setLevel(switch (threshold) {
-                case TRACE -> ch.qos.logback.classic.Level.TRACE;
-                case DEBUG -> ch.qos.logback.classic.Level.DEBUG;
-                case INFO -> ch.qos.logback.classic.Level.INFO;
-                case WARNING -> ch.qos.logback.classic.Level.WARN;
-                case ERROR -> ch.qos.logback.classic.Level.ERROR;
-                case OFF -> ch.qos.logback.classic.Level.OFF;
-            });
+            root.setLevel(
+                    switch (threshold) {
+                        case TRACE -> ch.qos.logback.classic.Level.TRACE;
+                        case DEBUG -> ch.qos.logback.classic.Level.DEBUG;
+                        case INFO -> ch.qos.logback.classic.Level.INFO;
+                        case WARNING -> ch.qos.logback.classic.Level.WARN;
+                        case ERROR -> ch.qos.logback.classic.Level.ERROR;
+                        case OFF -> ch.qos.logback.classic.Level.OFF;
+                    });
             root.addAppender(appender);
             SLF4JBridgeHandler.removeHandlersForRootLogger();
             SLF4JBridgeHandler.install();
--- a/src/main/java/beechseam/cli/Main.java
+++ b/src/main/java/beechseam/cli/Main.java
@@ -14,7 +14,10 @@
 public final class Main {
     /** A sub-command: done when it returns. */
     abstract static class Command {
-        @Parameter(names = {"--help", "-h"}, help = true, description = "Show this command's options")
+        @Parameter(
+                names = {"--help", "-h"},
+                help = true,
+                description = "Show this command's options")
         private boolean help;
 
         /** Gives the process's exit status. */
@@ -47,11 +50,13 @@
         }
     }
 
-    @Parameter(names = {"--help", "-h"}, help = true, description = "Show what there is")
+    @Parameter(
+            names = {"--help", "-h"},
+            help = true,
+            description = "Show what there is")
     private boolean help;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         int status = run(args);
@@ -89,7 +94,8 @@
     static int run(String... args) {
         Map<String, Command> commands = commands(args.length > 0 ? args[0] : "");
         Main main = new Main();
-        JCommander.Builder builder = JCommander.newBuilder().programName("beechseam").addObject(main);
+        JCommander.Builder builder =
+                JCommander.newBuilder().programName("beechseam").addObject(main);
         commands.forEach(builder::addCommand);
         JCommander parser = builder.build();
         try {
--- a/src/main/java/beechseam/cli/Serve.java
+++ b/src/main/java/beechseam/cli/Serve.java
@@ -46,8 +46,8 @@
         boolean told = environment.keySet().stream().anyMatch(key -> key.startsWith("PROXY_"));
         boolean platformWanted = gearman == null ? told : environment.containsKey("PROXY_CONFIG");
         NodeConfig node = platformWanted ? NodeConfig.of(environment) : null;
-        GearmanConfig second = gearman != null ? GearmanConfig.read(gearman)
-            : platformWanted ? null : GearmanConfig.usual();
+        GearmanConfig second =
+                gearman != null ? GearmanConfig.read(gearman) : platformWanted ? null : GearmanConfig.usual();
         EventLoop loop = new EventLoop();
         PlatformNode[] reloaded = {null};
         on("HUP", () -> reload(loop, reloaded, environment));
@@ -56,8 +56,8 @@
         if (platform != null) {
             platform.rereads(() -> NodeConfig.reload(environment));
         }
-        GearmanServer jobServer = second == null ? null
-            : new GearmanServer(loop, second, node == null ? System.nanoTime() : node.seed());
+        GearmanServer jobServer =
+                second == null ? null : new GearmanServer(loop, second, node == null ? System.nanoTime() : node.seed());
         int[] fronts = {(platform == null ? 0 : 1) + (jobServer == null ? 0 : 1)};
         Runnable stopped = () -> {
             if (--fronts[0] == 0) {
@@ -95,12 +95,12 @@
     private static void greet(InetSocketAddress at) {
         String host = at.getAddress().getHostAddress();
         System.out.println("A Gearman job server listens on " + host + ":" + at.getPort()
-            + ". Any function, jobs in memory; Ctrl-C ends it.\n"
-            + "With the gearman command line tool, a worker and a first job:\n"
-            + "  gearman -h " + host + " -p " + at.getPort() + " -w -f shout -- tr a-z A-Z\n"
-            + "  echo hello | gearman -h " + host + " -p " + at.getPort() + " -f shout\n"
-            + "What it holds: printf 'status\\n' | nc -w 1 " + host + " " + at.getPort()
-            + "; for an operator's file see README.");
+                + ". Any function, jobs in memory; Ctrl-C ends it.\n"
+                + "With the gearman command line tool, a worker and a first job:\n"
+                + "  gearman -h " + host + " -p " + at.getPort() + " -w -f shout -- tr a-z A-Z\n"
+                + "  echo hello | gearman -h " + host + " -p " + at.getPort() + " -f shout\n"
+                + "What it holds: printf 'status\\n' | nc -w 1 " + host + " " + at.getPort()
+                + "; for an operator's file see README.");
     }
 
     /**
@@ -111,8 +111,7 @@
     private static void on(String signal, Runnable action) {
         try {
             if (Signal.handle(new Signal(signal), received -> action.run()) == SignalHandler.SIG_IGN) {
-                LOG.log(Level.WARNING,
-                    "SIG" + signal + " is ignored by who started this program, and stays so");
+                LOG.log(Level.WARNING, "SIG" + signal + " is ignored by who started this program, and stays so");
             }
         } catch (IllegalArgumentException e) { // the system has none, or the runtime leaves it alone
             LOG.log(Level.WARNING, "SIG" + signal + " is not handled: " + e.getMessage());
--- a/src/main/java/beechseam/config/Json.java
+++ b/src/main/java/beechseam/config/Json.java
@@ -18,8 +18,7 @@
 public final class Json {
     public static final JsonFactory FACTORY = new JsonFactory();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** One whole document; a fault in it is told with its place, in bytes from the start. */
     public static Object parse(byte[] text, int from, int length) throws IOException {
@@ -29,7 +28,8 @@
             }
             return tree(in);
         } catch (JsonProcessingException e) {
-            throw new IOException(e.getOriginalMessage() + " at byte " + e.getLocation().getByteOffset(), e);
+            throw new IOException(
+                    e.getOriginalMessage() + " at byte " + e.getLocation().getByteOffset(), e);
         }
     }
 
@@ -50,7 +50,7 @@
     /** Writes a file that holds a list of objects, each a row of figures and words by name. */
     public static void rows(Path file, List<? extends Map<String, ?>> rows) throws IOException {
         try (OutputStream out = Files.newOutputStream(file);
-             JsonGenerator json = FACTORY.createGenerator(out)) {
+                JsonGenerator json = FACTORY.createGenerator(out)) {
             json.useDefaultPrettyPrinter().writeStartArray();
             for (Map<String, ?> row : rows) {
                 json.writeStartObject();
--- a/src/main/java/beechseam/config/JsonSchema.java
+++ b/src/main/java/beechseam/config/JsonSchema.java
@@ -14,8 +14,7 @@
 public final class JsonSchema {
     private static final String ADDRESS = "^(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]):\\d{1,5}$";
 
-    private JsonSchema() {
-    }
+    private JsonSchema() {}
 
     /**
      * The schema as indented JSON with a line end. {@code sample} has been read and has an object of each
@@ -36,8 +35,10 @@
     private static void object(JsonGenerator g, Tree of) throws IOException {
         g.writeStringField("type", "object");
         g.writeBooleanField("additionalProperties", false);
-        List<String> required = of.asked().entrySet().stream().filter(e -> e.getValue().required())
-            .map(Map.Entry::getKey).toList();
+        List<String> required = of.asked().entrySet().stream()
+                .filter(e -> e.getValue().required())
+                .map(Map.Entry::getKey)
+                .toList();
         if (!required.isEmpty()) {
             g.writeArrayFieldStart("required");
             for (String each : required) {
--- a/src/main/java/beechseam/config/MemberList.java
+++ b/src/main/java/beechseam/config/MemberList.java
@@ -31,8 +31,16 @@
      * One row; {@code address} is null only for one that is gone. {@code startedMs} is the latest start by
      * the wall clock of whoever dates the list, in Unix milliseconds, 0 for long ago.
      */
-    public record Server(String id, String addr, InetSocketAddress address, String zone, String kind,
-                         int cell, State state, double weight, long startedMs) {
+    public record Server(
+            String id,
+            String addr,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            State state,
+            double weight,
+            long startedMs) {
         /**
          * The row in the module's terms, under the number that stands for its id.
          *
@@ -88,8 +96,7 @@
         return checked(list, servers, Set.of());
     }
 
-    private static MemberList checked(Tree list, List<Server> servers, Set<String> unusable)
-        throws ConfigException {
+    private static MemberList checked(Tree list, List<Server> servers, Set<String> unusable) throws ConfigException {
         boolean full = list.flag("full", true);
         Set<String> ids = new HashSet<>();
         for (Server each : servers) {
@@ -109,9 +116,15 @@
             default -> throw row.wrong("state", "must be SERVING, DRAINING or DELETED");
         };
         boolean gone = state == State.GONE;
-        return new Server(row.text("id"), row.text("addr", ""), gone ? null : row.address("addr", null),
-            row.text("zone", "-"), row.text("kind", "-"),
-            (int) row.whole("cell", Integer.MIN_VALUE, Integer.MAX_VALUE, 0), state,
-            row.number("weight", 0, 1e9, 1), (long) row.number("started_ms", 0, 9e15, 0));
+        return new Server(
+                row.text("id"),
+                row.text("addr", ""),
+                gone ? null : row.address("addr", null),
+                row.text("zone", "-"),
+                row.text("kind", "-"),
+                (int) row.whole("cell", Integer.MIN_VALUE, Integer.MAX_VALUE, 0),
+                state,
+                row.number("weight", 0, 1e9, 1),
+                (long) row.number("started_ms", 0, 9e15, 0));
     }
 }
--- a/src/main/java/beechseam/config/ModuleOptions.java
+++ b/src/main/java/beechseam/config/ModuleOptions.java
@@ -1,11 +1,5 @@
 package beechseam.config;
 
-import java.io.IOException;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.function.ToDoubleFunction;
 import beechseam.Dispatching.Effect;
 import beechseam.Dispatching.Group;
 import beechseam.Dispatching.JobClass;
@@ -14,12 +8,19 @@
 import beechseam.Dispatching.Reports;
 import beechseam.Dispatching.Rules;
 import beechseam.Dispatching.Settings;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.ToDoubleFunction;
 
 /** The settings object put into the module's terms, and the order in which load reports list their values. */
 public final class ModuleOptions {
     public final Settings settings;
     /** Whether a client marks its retries, so that what is not marked is a first try. */
     public final boolean marksRetries;
+
     private final Map<String, Integer> classes = new HashMap<>();
     private final int held;
     private final int waiting;
@@ -60,28 +61,44 @@
             int i = classes.size();
             int kind = i < kindOf.size() ? ((Number) kindOf.get(i)).intValue() : -1;
             double stretch = i < stretchOf.size() ? ((Number) stretchOf.get(i)).doubleValue() : 0;
-            classes.add(new JobClass(text(c, "Name", ""), integer(c, "AimNs", 0), integer(c, "DeadlineNs", 0),
-                number(c, "AimStretch", stretch), number(c, "Worth", 1), number(c, "LateWorth", 0),
-                switch (text(c, "Effect", "")) {
-                    case "read_like" -> Effect.SAFE;
-                    case "idempotency_key" -> Effect.KEYED;
-                    default -> Effect.UNSAFE;
-                },
-                switch (text(c, "Group", "")) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    default -> Group.CELL;
-                }, integer(c, "WindowNs", 0),
-                kind >= 0 && kind < kinds.size() ? (String) kinds.get(kind) : null));
+            classes.add(new JobClass(
+                    text(c, "Name", ""),
+                    integer(c, "AimNs", 0),
+                    integer(c, "DeadlineNs", 0),
+                    number(c, "AimStretch", stretch),
+                    number(c, "Worth", 1),
+                    number(c, "LateWorth", 0),
+                    switch (text(c, "Effect", "")) {
+                        case "read_like" -> Effect.SAFE;
+                        case "idempotency_key" -> Effect.KEYED;
+                        default -> Effect.UNSAFE;
+                    },
+                    switch (text(c, "Group", "")) {
+                        case "all" -> Group.ALL;
+                        case "zone" -> Group.ZONE;
+                        default -> Group.CELL;
+                    },
+                    integer(c, "WindowNs", 0),
+                    kind >= 0 && kind < kinds.size() ? (String) kinds.get(kind) : null));
         }
         Map<?, ?> l = map(o, "Limits");
-        Limits limits = new Limits((int) integer(l, "MaxAttempts", 1), integer(l, "MaxRetryAfterNs", 0),
-            flag(l, "RetryAfter"), flag(l, "Cancel"), flag(l, "Probes"), flag(l, "SecondCopies"),
-            integer(l, "IdleCloseNs", 0));
+        Limits limits = new Limits(
+                (int) integer(l, "MaxAttempts", 1),
+                integer(l, "MaxRetryAfterNs", 0),
+                flag(l, "RetryAfter"),
+                flag(l, "Cancel"),
+                flag(l, "Probes"),
+                flag(l, "SecondCopies"),
+                integer(l, "IdleCloseNs", 0));
         Map<?, ?> r = map(o, "Rules");
-        Rules rules = new Rules(integer(r, "DrainGraceNs", 0), integer(r, "AskWithinNs", Long.MAX_VALUE),
-            number(r, "StartCapacity", 1), integer(r, "ColdNs", 0), number(r, "OverloadFactor", 1),
-            integer(r, "OverloadForNs", 0), flag(r, "FullMayHaveRun"));
+        Rules rules = new Rules(
+                integer(r, "DrainGraceNs", 0),
+                integer(r, "AskWithinNs", Long.MAX_VALUE),
+                number(r, "StartCapacity", 1),
+                integer(r, "ColdNs", 0),
+                number(r, "OverloadFactor", 1),
+                integer(r, "OverloadForNs", 0),
+                flag(r, "FullMayHaveRun"));
         Map<?, ?> info = map(o, "LoadInfo");
         Reports reports = switch (text(info, "How", "")) {
             case "piggyback" -> Reports.ANSWERS;
@@ -89,15 +106,27 @@
             default -> Reports.NONE;
         };
         Map<?, ?> prices = map(o, "Prices");
-        return new ModuleOptions(new Settings(List.copyOf(classes), limits, rules, reports,
-            text(o, "Discovery", "").equals("on_request"), (int) integer(o, "GroupSize", 1),
-            (int) integer(o, "Me", 0), text(o, "Locality", ""),
-            flag(family, "TellsStart"), integer(family, "ProgressNs", 0), number(prices, "CrossZone", 0),
-            number(prices, "Handshake", 0),
-            number(prices, "Probe", 0), text(o, "CountedBy", "").equals("work"),
-            text(o, "WeightSource", "").equals("live")),
-            flag(map(o, "Clients"), "MarksRetry"), list(info, "Columns"), text(family, "ReportX0", ""),
-            text(family, "ReportX1", ""));
+        return new ModuleOptions(
+                new Settings(
+                        List.copyOf(classes),
+                        limits,
+                        rules,
+                        reports,
+                        text(o, "Discovery", "").equals("on_request"),
+                        (int) integer(o, "GroupSize", 1),
+                        (int) integer(o, "Me", 0),
+                        text(o, "Locality", ""),
+                        flag(family, "TellsStart"),
+                        integer(family, "ProgressNs", 0),
+                        number(prices, "CrossZone", 0),
+                        number(prices, "Handshake", 0),
+                        number(prices, "Probe", 0),
+                        text(o, "CountedBy", "").equals("work"),
+                        text(o, "WeightSource", "").equals("live")),
+                flag(map(o, "Clients"), "MarksRetry"),
+                list(info, "Columns"),
+                text(family, "ReportX0", ""),
+                text(family, "ReportX1", ""));
     }
 
     public int classIndex(String name) throws IOException {
@@ -116,17 +145,24 @@
 
     /** A report in the module's terms, or null where none came along. */
     public Load load(double[] gauge, int size) {
-        return size == 0 ? null : new Load(at(gauge, size, held), at(gauge, size, waiting),
-            at(gauge, size, freeSlots), at(gauge, size, freeMemory), at(gauge, size, utilization));
+        return size == 0
+                ? null
+                : new Load(
+                        at(gauge, size, held),
+                        at(gauge, size, waiting),
+                        at(gauge, size, freeSlots),
+                        at(gauge, size, freeMemory),
+                        at(gauge, size, utilization));
     }
 
     /** The same for a report that names its values; the platform's sockets use the short names. */
     public Load load(ToDoubleFunction<String> named) {
-        return new Load(named(named, held, "inflight", "outstanding"),
-            named(named, waiting, "queue", "backlog"),
-            named(named, freeSlots, freeSlotsName, freeSlotsName),
-            named(named, freeMemory, freeMemoryName, freeMemoryName),
-            named(named, utilization, "util", "utilization"));
+        return new Load(
+                named(named, held, "inflight", "outstanding"),
+                named(named, waiting, "queue", "backlog"),
+                named(named, freeSlots, freeSlotsName, freeSlotsName),
+                named(named, freeMemory, freeMemoryName, freeMemoryName),
+                named(named, utilization, "util", "utilization"));
     }
 
     private static double named(ToDoubleFunction<String> named, int column, String shortName, String name) {
--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -1,11 +1,11 @@
 package beechseam.config;
 
 import java.io.IOException;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -13,9 +13,18 @@
  * What a platform node is told. The one place where PROXY_CONFIG and its companions are read, checked and
  * given defaults.
  */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
-                         String discoveryHost, InetSocketAddress console, Path state, long seed,
-                         int sockets, MemberList known, ModuleOptions options, long connectTimeoutNs) {
+public record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        String discoveryHost,
+        InetSocketAddress console,
+        Path state,
+        long seed,
+        int sockets,
+        MemberList known,
+        ModuleOptions options,
+        long connectTimeoutNs) {
     private static final Logger LOG = System.getLogger(NodeConfig.class.getName());
     private static final long DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000L;
 
@@ -69,7 +78,8 @@
                 return new Tree("", map);
             }
         } catch (IOException e) {
-            throw new ConfigException(file, "is not JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new ConfigException(
+                    file, "is not JSON: " + e.getMessage().lines().findFirst().orElse(""));
         }
         throw new ConfigException(file, "must hold one object");
     }
@@ -81,14 +91,18 @@
         Tree bounds = settings.object("Limits", Map.of());
         limits.mayHave("cores", "memory_mb"); // for the platform to hold us to
         c.mayHave("seed", "console", "state_dir");
-        NodeConfig config = new NodeConfig(c.text("name", "node"), c.address("listen", null),
-            c.address("discovery", null), c.text("discovery"),
-            c.has("console") ? c.address("console",
-                null) : null,
-            c.directory("state_dir"), seed(c),
-            (int) limits.whole("sockets", 32, 1 << 20, 1024),
-            MemberList.of(c.object("known", Map.of())), ModuleOptions.of(settings.values()),
-            bounds.whole("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
+        NodeConfig config = new NodeConfig(
+                c.text("name", "node"),
+                c.address("listen", null),
+                c.address("discovery", null),
+                c.text("discovery"),
+                c.has("console") ? c.address("console", null) : null,
+                c.directory("state_dir"),
+                seed(c),
+                (int) limits.whole("sockets", 32, 1 << 20, 1024),
+                MemberList.of(c.object("known", Map.of())),
+                ModuleOptions.of(settings.values()),
+                bounds.whole("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
         others(c);
         others(limits);
         return config;
--- a/src/main/java/beechseam/config/Tree.java
+++ b/src/main/java/beechseam/config/Tree.java
@@ -16,15 +16,25 @@
  */
 public final class Tree {
     /** What a key must be. */
-    enum Kind { TEXT, WHOLE, NUMBER, FLAG, WORD, DIRECTORY, ADDRESS, OBJECT, NUMBERS, OBJECTS }
+    enum Kind {
+        TEXT,
+        WHOLE,
+        NUMBER,
+        FLAG,
+        WORD,
+        DIRECTORY,
+        ADDRESS,
+        OBJECT,
+        NUMBERS,
+        OBJECTS
+    }
 
     /**
      * What was asked of a key: its bounds if it is a number, its words if it is one of some, the word that
      * may stand in place of a list; {@code child} is the last object read of it, null for other kinds.
      */
-    record Asked(Kind kind, boolean required, Object otherwise, double least, double most, List<String> words,
-                 Tree child) {
-    }
+    record Asked(
+            Kind kind, boolean required, Object otherwise, double least, double most, List<String> words, Tree child) {}
 
     /** Words further apart than this share of their length are not taken for one misspelt. */
     private static final double LIKE = 0.5;
@@ -44,12 +54,11 @@
         return asked;
     }
 
-    private void note(String key, Kind kind, Object otherwise, double least, double most, List<String> words,
-                      Tree child) {
+    private void note(
+            String key, Kind kind, Object otherwise, double least, double most, List<String> words, Tree child) {
         Asked before = asked.get(key);
         if (before == null || child != null) {
-            asked.put(key, new Asked(kind, before != null && before.required, otherwise, least, most, words,
-                child));
+            asked.put(key, new Asked(kind, before != null && before.required, otherwise, least, most, words, child));
         }
     }
 
@@ -97,8 +106,7 @@
         String best = null;
         int least = (int) Math.max(1, key.length() * share) + 1;
         for (String each : asked.keySet()) {
-            int distance = LevenshteinDistance.getDefaultInstance().apply(key.toLowerCase(),
-                each.toLowerCase());
+            int distance = LevenshteinDistance.getDefaultInstance().apply(key.toLowerCase(), each.toLowerCase());
             if (distance < least) {
                 least = distance;
                 best = each;
@@ -127,9 +135,12 @@
 
     /** A key that nobody asks for; {@code near} is the one that was meant, or null where none is like it. */
     ConfigException unknown(String key, String near) {
-        return new ConfigException(path(key), "is not known here; "
-            + (near == null ? "known are " + String.join(", ", asked.keySet())
-                : "did you mean " + near + "?"));
+        return new ConfigException(
+                path(key),
+                "is not known here; "
+                        + (near == null
+                                ? "known are " + String.join(", ", asked.keySet())
+                                : "did you mean " + near + "?"));
     }
 
     private ConfigException missing(String key) {
@@ -176,8 +187,9 @@
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
-            : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 
     public boolean flag(String key, boolean otherwise) throws ConfigException {
@@ -194,7 +206,8 @@
 
     public <E extends Enum<E>> E word(String key, Class<E> words, E otherwise) throws ConfigException {
         List<String> known = java.util.Arrays.stream(words.getEnumConstants())
-            .map(e -> e.name().toLowerCase()).toList();
+                .map(e -> e.name().toLowerCase())
+                .toList();
         note(key, Kind.WORD, otherwise == null ? null : otherwise.name().toLowerCase(), 0, 0, known, null);
         String value = text(key, null);
         if (value == null) {
@@ -205,7 +218,9 @@
                 return each;
             }
         }
-        throw wrong(key, "must be one of " + List.of(words.getEnumConstants()).toString().toLowerCase());
+        throw wrong(
+                key,
+                "must be one of " + List.of(words.getEnumConstants()).toString().toLowerCase());
     }
 
     /** A directory, or null where none is named; it is not looked for here. */
@@ -265,8 +280,8 @@
     public void numbers(String key) throws ConfigException {
         note(key, Kind.NUMBERS, null);
         Object value = values.get(key);
-        if (value != null && !(value instanceof List<?> list
-            && list.stream().allMatch(each -> each instanceof Number))) {
+        if (value != null
+                && !(value instanceof List<?> list && list.stream().allMatch(each -> each instanceof Number))) {
             throw wrong(key, "must be a list of numbers");
         }
     }
--- a/src/main/java/beechseam/conformance/Peer.java
+++ b/src/main/java/beechseam/conformance/Peer.java
@@ -14,12 +14,12 @@
 /** One end of a transcript: keeps what it hears, as packets and lines, until the script asks for it. */
 final class Peer extends Connection {
     /** What the server said, in order: a packet with its arguments, or a line of an admin answer. */
-    record Heard(Packet packet, List<byte[]> args, String line) {
-    }
+    record Heard(Packet packet, List<byte[]> args, String line) {}
 
     final ArrayDeque<Heard> heard = new ArrayDeque<>();
     /** Why what came cannot be understood, or null. */
     String fault;
+
     boolean gone;
     private byte[] rest = new byte[0];
 
@@ -53,8 +53,10 @@
         if (rest[at] != 0) {
             for (int i = at; i < rest.length; i++) {
                 if (rest[i] == '\n') {
-                    heard.add(new Heard(null, List.of(), new String(rest, at, i - at,
-                        java.nio.charset.StandardCharsets.UTF_8).stripTrailing()));
+                    heard.add(new Heard(
+                            null,
+                            List.of(),
+                            new String(rest, at, i - at, java.nio.charset.StandardCharsets.UTF_8).stripTrailing()));
                     return i + 1;
                 }
             }
--- a/src/main/java/beechseam/conformance/Player.java
+++ b/src/main/java/beechseam/conformance/Player.java
@@ -141,8 +141,7 @@
         } else if (step instanceof Step.Quiet s) {
             Peer p = peer(s.peer());
             if (until(s.ns(), () -> !p.heard.isEmpty() || p.gone)) {
-                throw new Failed(p.gone ? s.peer() + " was cut off" : s.peer() + " heard "
-                    + shown(p.heard.peek()));
+                throw new Failed(p.gone ? s.peer() + " was cut off" : s.peer() + " heard " + shown(p.heard.peek()));
             }
         } else if (step instanceof Step.Close s) {
             peer(s.peer()).close();
@@ -189,14 +188,17 @@
             throw new Failed(s.peer() + " heard " + shown(next) + " in place of " + s.packet());
         }
         if (next.args().size() != s.packet().arguments) {
-            throw new Failed(s.packet() + " came with " + next.args().size() + " arguments in place of "
-                + s.packet().arguments);
+            throw new Failed(
+                    s.packet() + " came with " + next.args().size() + " arguments in place of " + s.packet().arguments);
         }
         if (s.values().size() > next.args().size()) {
             throw new Failed("the script expects more arguments than " + s.packet() + " has");
         }
         for (int i = 0; i < s.values().size(); i++) {
-            match(s.packet() + ", argument " + (i + 1), s.values().get(i), next.args().get(i));
+            match(
+                    s.packet() + ", argument " + (i + 1),
+                    s.values().get(i),
+                    next.args().get(i));
         }
     }
 
@@ -214,9 +216,12 @@
     private void lists(Step.Lists s) throws IOException, Failed {
         StringBuilder wanted = new StringBuilder();
         for (Value v : s.values()) {
-            wanted.append(v instanceof Value.Matching m ? "(?:" + m.pattern() + ")"
-                : v instanceof Value.Any ? ".*" : Pattern.quote(new String(bytes(v),
-                    StandardCharsets.UTF_8)));
+            wanted.append(
+                    v instanceof Value.Matching m
+                            ? "(?:" + m.pattern() + ")"
+                            : v instanceof Value.Any
+                                    ? ".*"
+                                    : Pattern.quote(new String(bytes(v), StandardCharsets.UTF_8)));
         }
         Pattern pattern = Pattern.compile(wanted.toString());
         List<String> lines = new ArrayList<>();
@@ -234,7 +239,7 @@
         }
         if (!found) {
             throw new Failed("none of " + lines.size() + " lines is as wanted; the last is '"
-                + (lines.isEmpty() ? "" : lines.get(lines.size() - 1)) + "'");
+                    + (lines.isEmpty() ? "" : lines.get(lines.size() - 1)) + "'");
         }
     }
 
@@ -242,8 +247,10 @@
         Peer p = peer(name);
         until(withinNs, () -> !p.heard.isEmpty() || p.gone || p.fault != null);
         if (p.heard.isEmpty()) {
-            throw new Failed(p.fault != null ? p.fault : p.gone ? name + " was cut off before " + what
-                : name + " waited in vain for " + what);
+            throw new Failed(
+                    p.fault != null
+                            ? p.fault
+                            : p.gone ? name + " was cut off before " + what : name + " waited in vain for " + what);
         }
         return p.heard.poll();
     }
@@ -252,13 +259,14 @@
         if (wanted instanceof Value.Text t && !Arrays.equals(t.bytes(), got)) {
             throw new Failed(where + " is " + shown(got) + " in place of " + shown(t.bytes()));
         } else if (wanted instanceof Value.Matching m
-            && !m.pattern().matcher(new String(got, StandardCharsets.ISO_8859_1)).matches()) {
+                && !m.pattern()
+                        .matcher(new String(got, StandardCharsets.ISO_8859_1))
+                        .matches()) {
             throw new Failed(where + " is " + shown(got) + " and does not match /" + m.pattern() + "/");
         } else if (wanted instanceof Value.Variable v) {
             byte[] known = names.putIfAbsent(v.name(), got);
             if (known != null && !Arrays.equals(known, got)) {
-                throw new Failed(where + " is " + shown(got) + " in place of " + v.name() + ", "
-                    + shown(known));
+                throw new Failed(where + " is " + shown(got) + " in place of " + v.name() + ", " + shown(known));
             }
         }
     }
@@ -296,9 +304,8 @@
 
     private static String shown(byte[] bytes) {
         String text = new String(bytes, 0, Math.min(bytes.length, SHOWN), StandardCharsets.ISO_8859_1)
-            .replaceAll("\\p{Cntrl}", ".");
-        return "'" + text + "'" + (bytes.length > SHOWN ? " and " + (bytes.length - SHOWN) + " bytes more"
-            : "");
+                .replaceAll("\\p{Cntrl}", ".");
+        return "'" + text + "'" + (bytes.length > SHOWN ? " and " + (bytes.length - SHOWN) + " bytes more" : "");
     }
 
     /** Which packets the cases are about: how many cases each, and how many of them passed. */
--- a/src/main/java/beechseam/conformance/Script.java
+++ b/src/main/java/beechseam/conformance/Script.java
@@ -33,66 +33,54 @@
     /** What one argument is, or must be. */
     sealed interface Value {
         /** Bytes as they stand. */
-        record Text(byte[] bytes) implements Value {
-        }
+        record Text(byte[] bytes) implements Value {}
 
         /** In an expectation: any bytes that match as a whole, read as ISO 8859-1. */
-        record Matching(Pattern pattern) implements Value {
-        }
+        record Matching(Pattern pattern) implements Value {}
 
         /** In an expectation: anything. */
-        record Any() implements Value {
-        }
+        record Any() implements Value {}
 
         /** What the name stands for; in an expectation an unknown one takes what came. */
-        record Variable(String name) implements Value {
-        }
+        record Variable(String name) implements Value {}
     }
 
     /** How the bytes of a packet go out. */
-    enum How { WHOLE, BYTE_BY_BYTE, CUT_SHORT }
+    enum How {
+        WHOLE,
+        BYTE_BY_BYTE,
+        CUT_SHORT
+    }
 
     /** A step; {@code line} is where it stands in its file. */
     sealed interface Step {
         int line();
 
-        record Fresh(int line, List<String> names) implements Step {
-        }
+        record Fresh(int line, List<String> names) implements Step {}
 
-        record Pause(int line, long ns) implements Step {
-        }
+        record Pause(int line, long ns) implements Step {}
 
-        record Send(int line, String peer, How how, Packet packet, List<Value> values) implements Step {
-        }
+        record Send(int line, String peer, How how, Packet packet, List<Value> values) implements Step {}
 
-        record Raw(int line, String peer, List<Value> values) implements Step {
-        }
+        record Raw(int line, String peer, List<Value> values) implements Step {}
 
-        record Expect(int line, String peer, Packet packet, List<Value> values,
-            long withinNs) implements Step {
-        }
+        record Expect(int line, String peer, Packet packet, List<Value> values, long withinNs) implements Step {}
 
         /** An admin line to send. */
-        record Line(int line, String peer, List<Value> values) implements Step {
-        }
+        record Line(int line, String peer, List<Value> values) implements Step {}
 
         /** An admin answer, line by line. */
-        record Hears(int line, String peer, List<Value> values, long withinNs) implements Step {
-        }
+        record Hears(int line, String peer, List<Value> values, long withinNs) implements Step {}
 
         /** An admin answer of many lines up to its dot,
-            one of which is made of these values in their order. */
-        record Lists(int line, String peer, List<Value> values, long withinNs) implements Step {
-        }
+         * one of which is made of these values in their order. */
+        record Lists(int line, String peer, List<Value> values, long withinNs) implements Step {}
 
-        record Quiet(int line, String peer, long ns) implements Step {
-        }
+        record Quiet(int line, String peer, long ns) implements Step {}
 
-        record Close(int line, String peer) implements Step {
-        }
+        record Close(int line, String peer) implements Step {}
 
-        record Closed(int line, String peer, long withinNs) implements Step {
-        }
+        record Closed(int line, String peer, long withinNs) implements Step {}
     }
 
     /** A case; {@code covers} are the packets that it is about. */
@@ -104,9 +92,9 @@
     }
 
     /** Files of the suite that comes with the program. */
-    public static final List<String> SUITE = List.of("basics", "submit", "workers", "results", "later",
-        "limits",
-        "admin", "bad-input");
+    public static final List<String> SUITE =
+            List.of("basics", "submit", "workers", "results", "later", "limits", "admin", "bad-input");
+
     private static final long PATIENCE_NS = 5_000_000_000L;
 
     private final String file;
@@ -137,9 +125,13 @@
         List<Fault> faults = new ArrayList<>();
         BaseErrorListener listener = new BaseErrorListener() {
             @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column,
-                String what,
-                                    RecognitionException e) {
+            public void syntaxError(
+                    Recognizer<?, ?> recognizer,
+                    Object symbol,
+                    int line,
+                    int column,
+                    String what,
+                    RecognitionException e) {
                 faults.add(new Fault(file + ":" + line + ":" + (column + 1), what));
             }
         };
@@ -203,7 +195,8 @@
         for (TranscriptParser.StepContext s : c.step()) {
             int line = s.getStart().getLine();
             if (s instanceof TranscriptParser.FreshContext fresh) {
-                steps.add(new Step.Fresh(line, fresh.WORD().stream().map(w -> w.getText()).toList()));
+                steps.add(new Step.Fresh(
+                        line, fresh.WORD().stream().map(w -> w.getText()).toList()));
             } else if (s instanceof TranscriptParser.PauseContext pause) {
                 steps.add(new Step.Pause(line, time(pause.TIME().getSymbol())));
             } else if (s instanceof TranscriptParser.SayContext say) {
@@ -226,8 +219,8 @@
         } else if (a instanceof TranscriptParser.RawContext s) {
             return new Step.Raw(line, peer, values(s.value()));
         } else if (a instanceof TranscriptParser.ExpectContext s) {
-            return new Step.Expect(line, peer, packet(s.WORD().getSymbol(), each), values(s.value()),
-                within(s.within()));
+            return new Step.Expect(
+                    line, peer, packet(s.WORD().getSymbol(), each), values(s.value()), within(s.within()));
         } else if (a instanceof TranscriptParser.LineContext s) {
             return new Step.Line(line, peer, values(s.value()));
         } else if (a instanceof TranscriptParser.HearsContext s) {
@@ -242,8 +235,9 @@
         return new Step.Close(line, peer);
     }
 
-    private Step send(int line, String peer, How how, Token word, List<TranscriptParser.ValueContext> values,
-                      Packet each) throws Fault {
+    private Step send(
+            int line, String peer, How how, Token word, List<TranscriptParser.ValueContext> values, Packet each)
+            throws Fault {
         return new Step.Send(line, peer, how, packet(word, each), values(values));
     }
 
@@ -261,8 +255,8 @@
             } else if (v instanceof TranscriptParser.PatternContext p) {
                 String text = p.REGEX().getText();
                 try {
-                    values.add(new Value.Matching(Pattern.compile(text.substring(1, text.length() - 1)
-                        .replace("\\/", "/"), Pattern.DOTALL)));
+                    values.add(new Value.Matching(
+                            Pattern.compile(text.substring(1, text.length() - 1).replace("\\/", "/"), Pattern.DOTALL)));
                 } catch (PatternSyntaxException e) {
                     throw fault(p.getStart(), e.getDescription());
                 }
@@ -281,8 +275,9 @@
 
     private static long time(Token t) {
         String text = t.getText();
-        return text.endsWith("ms") ? Long.parseLong(text.substring(0, text.length() - 2)) * 1_000_000L
-            : Long.parseLong(text.substring(0, text.length() - 1)) * 1_000_000_000L;
+        return text.endsWith("ms")
+                ? Long.parseLong(text.substring(0, text.length() - 2)) * 1_000_000L
+                : Long.parseLong(text.substring(0, text.length() - 1)) * 1_000_000_000L;
     }
 
     /**
--- a/src/main/java/beechseam/core/Attempt.java
+++ b/src/main/java/beechseam/core/Attempt.java
@@ -7,6 +7,7 @@
     public final long target;
     /** What the egress keeps of it. */
     public Object carrier;
+
     final Timer timeout;
     boolean over;
     boolean begun;
--- a/src/main/java/beechseam/core/Counters.java
+++ b/src/main/java/beechseam/core/Counters.java
@@ -34,6 +34,7 @@
     public long taken;
     /** Attempts that the module has decided on. */
     public long sent;
+
     public long left;
     public long probes;
     public long lateCallbacks;
@@ -41,6 +42,7 @@
     public long withheld;
     /** Attempts whose connection fell silent before the target had taken them. */
     public long silent;
+
     public long faults;
     public long confLoaded;
     public long confInvalid;
@@ -120,18 +122,42 @@
     /** One line of JSON. */
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder("{\"taken\":").append(taken).append(",\"sent\":").append(sent)
-            .append(",\"answered\":").append(served() + shed() + failed())
-            .append(",\"written\":").append(sum(c -> c.written)).append(",\"served\":").append(served())
-            .append(",\"shed\":").append(shed()).append(",\"failed\":").append(failed())
-            .append(",\"left\":").append(left).append(",\"probes\":").append(probes)
-            .append(",\"late_callbacks\":").append(lateCallbacks).append(",\"bad_input\":").append(badInput)
-            .append(",\"withheld\":").append(withheld).append(",\"silent\":").append(silent)
-            .append(",\"crowded_out\":").append(crowdedOut()).append(",\"faults\":").append(faults)
-            .append(",\"hops\":{");
+        StringBuilder s = new StringBuilder("{\"taken\":")
+                .append(taken)
+                .append(",\"sent\":")
+                .append(sent)
+                .append(",\"answered\":")
+                .append(served() + shed() + failed())
+                .append(",\"written\":")
+                .append(sum(c -> c.written))
+                .append(",\"served\":")
+                .append(served())
+                .append(",\"shed\":")
+                .append(shed())
+                .append(",\"failed\":")
+                .append(failed())
+                .append(",\"left\":")
+                .append(left)
+                .append(",\"probes\":")
+                .append(probes)
+                .append(",\"late_callbacks\":")
+                .append(lateCallbacks)
+                .append(",\"bad_input\":")
+                .append(badInput)
+                .append(",\"withheld\":")
+                .append(withheld)
+                .append(",\"silent\":")
+                .append(silent)
+                .append(",\"crowded_out\":")
+                .append(crowdedOut())
+                .append(",\"faults\":")
+                .append(faults)
+                .append(",\"hops\":{");
         for (Outcome o : Outcome.values()) {
-            s.append(o.ordinal() == 0 ? "\"" : ",\"").append(o.name().toLowerCase(java.util.Locale.ROOT))
-                .append("\":").append(ended[o.ordinal()]);
+            s.append(o.ordinal() == 0 ? "\"" : ",\"")
+                    .append(o.name().toLowerCase(java.util.Locale.ROOT))
+                    .append("\":")
+                    .append(ended[o.ordinal()]);
         }
         return s.append("}}").toString();
     }
--- a/src/main/java/beechseam/core/DeferredWork.java
+++ b/src/main/java/beechseam/core/DeferredWork.java
@@ -12,8 +12,7 @@
 
 /** What waits for the {@link SendGate} to open, in order of arrival. */
 final class DeferredWork {
-    private record DeferredJob(Request request, Job job) {
-    }
+    private record DeferredJob(Request request, Job job) {}
 
     private final ArrayDeque<DeferredJob> jobs = new ArrayDeque<>();
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
--- a/src/main/java/beechseam/core/Engine.java
+++ b/src/main/java/beechseam/core/Engine.java
@@ -46,8 +46,7 @@
     private long lastId;
     private long lastAnswerAt = Long.MAX_VALUE;
 
-    public Engine(Settings settings, long seed, LongSupplier clock, Timers timers, Egress egress,
-                  Counters counters) {
+    public Engine(Settings settings, long seed, LongSupplier clock, Timers timers, Egress egress, Counters counters) {
         this.clock = clock;
         this.timers = timers;
         this.egress = egress;
@@ -84,7 +83,9 @@
 
     /** Listed targets that get nothing new, or that the module doubts. */
     public long avoided() {
-        return routes.ids().stream().filter(id -> !routes.serving(id) || module.avoids(now(), id)).count();
+        return routes.ids().stream()
+                .filter(id -> !routes.serving(id) || module.avoids(now(), id))
+                .count();
     }
 
     /** Requests that owe an answer or still have an attempt out. */
@@ -120,8 +121,14 @@
     // ---- From fronts
 
     /** Takes a request; null when one of that name is still open. Its ingress may be called at once. */
-    public Request take(String correlation, int jobClass, long budgetNs, double slots, double memory,
-                        Object message, Ingress ingress) {
+    public Request take(
+            String correlation,
+            int jobClass,
+            long budgetNs,
+            double slots,
+            double memory,
+            Object message,
+            Ingress ingress) {
         return take(correlation, new Job(0, jobClass, budgetNs, 0, slots, memory), message, ingress);
     }
 
@@ -155,8 +162,9 @@
     }
 
     private void offer(Request r, Job job, long budgetNs) {
-        tell(() -> module.job(now(), new Job(r.id, job.jobClass(), budgetNs, job.workNs(), job.slots(),
-            job.memory(), job.firstTry())));
+        tell(() -> module.job(
+                now(),
+                new Job(r.id, job.jobClass(), budgetNs, job.workNs(), job.slots(), job.memory(), job.firstTry())));
     }
 
     /** Where the route table is not always current: who knows whether it is. */
@@ -167,8 +175,7 @@
     /** The gate has opened: what waited for it goes on, unless it has closed again meanwhile. */
     public void resume() {
         if (!waiting.isEmpty() && gate.open()) {
-            tell(() -> waiting.release((r, job) -> offer(r, job, r.deadlineAt - now()), this::sendOn,
-                egress::probe));
+            tell(() -> waiting.release((r, job) -> offer(r, job, r.deadlineAt - now()), this::sendOn, egress::probe));
         }
     }
 
@@ -386,12 +393,14 @@
                 LOG.log(Level.WARNING, "a send for a request that is finished");
                 return;
             }
-            Timer timeout = timeoutNs == 0 ? null : new Timer() {
-                @Override
-                protected void fire() {
-                    timeOut(r, r.attemptAt(worker));
-                }
-            };
+            Timer timeout = timeoutNs == 0
+                    ? null
+                    : new Timer() {
+                        @Override
+                        protected void fire() {
+                            timeOut(r, r.attemptAt(worker));
+                        }
+                    };
             Attempt attempt = new Attempt(r, r.attempts.size(), worker, timeout);
             r.attempts.add(attempt);
             r.out++;
@@ -455,12 +464,14 @@
 
         @Override
         public void wakeIn(long offsetNs, long tag) {
-            timers.set(new Timer() {
-                @Override
-                protected void fire() {
-                    tell(() -> module.wake(now(), tag));
-                }
-            }, now() + offsetNs);
+            timers.set(
+                    new Timer() {
+                        @Override
+                        protected void fire() {
+                            tell(() -> module.wake(now(), tag));
+                        }
+                    },
+                    now() + offsetNs);
         }
 
         @Override
--- a/src/main/java/beechseam/core/Request.java
+++ b/src/main/java/beechseam/core/Request.java
@@ -7,11 +7,13 @@
 public final class Request {
     /** The name by which clients and targets know it. */
     public final String correlation;
+
     public final int jobClass;
     /** When the client gives up. */
     public final long deadlineAt;
     /** What the front passes on; the core does not look inside. */
     public final Object message;
+
     final Ingress ingress;
     final long id;
     final List<Attempt> attempts = new ArrayList<>(2);
--- a/src/main/java/beechseam/fleet/membership/Membership.java
+++ b/src/main/java/beechseam/fleet/membership/Membership.java
@@ -46,7 +46,13 @@
     }
 
     /** How far this process has come. */
-    public enum Phase { JOINING, MEMBER, LEAVING, LEFT, REFUSED }
+    public enum Phase {
+        JOINING,
+        MEMBER,
+        LEAVING,
+        LEFT,
+        REFUSED
+    }
 
     /** How it went, for figures and for the accounts of experiments. */
     public static final class Figures {
@@ -59,6 +65,7 @@
     private static final int TELLINGS = 4;
     /** News that waits is told to so many at a time, so many times in a probe span. */
     private static final int GOSSIP_TO = 3;
+
     private static final int GOSSIP_TURNS = 5;
     private static final int WORST_HEALTH = 8;
     /** So many probe spans a process asks its seeds before it goes on alone. */
@@ -143,6 +150,7 @@
     private final Set<String> checking = new HashSet<>();
     /** Of this node itself: what is being told of it. */
     private final Entry ownEntry = new Entry();
+
     private Standing own;
     private Phase phase = Phase.JOINING;
     private long now, order, sequence, view, since;
@@ -336,16 +344,20 @@
     /** Somebody asks to be let in. A name that another process answers to is taken. */
     private void join(Standing joiner) {
         Standing holder = of(joiner.name());
-        boolean free = holder == null || !holder.up() || holder.life() == joiner.life()
-            || holder.address().equals(joiner.address()) && holder != own;
+        boolean free = holder == null
+                || !holder.up()
+                || holder.life() == joiner.life()
+                || holder.address().equals(joiner.address()) && holder != own;
         if (free) {
             answer(joiner, new Welcome(all()));
         } else if (holder == own) {
             answer(joiner, new Refusal(taken(own), List.of()));
         } else if (checking.add(joiner.name() + joiner.life())) {
-            check(holder, () -> answer(joiner, new Refusal(taken(holder), List.of())),
-                () -> answer(joiner, new Welcome(all())),
-                () -> checking.remove(joiner.name() + joiner.life()));
+            check(
+                    holder,
+                    () -> answer(joiner, new Refusal(taken(holder), List.of())),
+                    () -> answer(joiner, new Welcome(all())),
+                    () -> checking.remove(joiner.name() + joiner.life()));
         }
     }
 
@@ -354,8 +366,7 @@
     }
 
     private static String taken(Standing holder) {
-        return "the name " + holder.name() + " is taken: the process at " + holder.address()
-            + " answers to it";
+        return "the name " + holder.name() + " is taken: the process at " + holder.address() + " answers to it";
     }
 
     /** Asks another process whether it lives, beside the usual round. */
@@ -429,8 +440,10 @@
             if (!heard[0] && probe == q) {
                 for (Entry helper : some(options.helpers(), target)) {
                     asked[0]++;
-                    host.send(helper.standing.name(), helper.standing.address(),
-                        new PingRequest(q.sequence, s.name(), s.life(), s.address(), news()));
+                    host.send(
+                            helper.standing.name(),
+                            helper.standing.address(),
+                            new PingRequest(q.sequence, s.name(), s.life(), s.address(), news()));
                 }
             }
         });
@@ -543,8 +556,10 @@
         }
         Standing held = e.standing;
         if (!s.supersedes(held)) {
-            if (s.state() == State.SUSPECT && held.state() == State.SUSPECT && s.sameLife(held)
-                && s.incarnation() == held.incarnation()) {
+            if (s.state() == State.SUSPECT
+                    && held.state() == State.SUSPECT
+                    && s.sameLife(held)
+                    && s.incarnation() == held.incarnation()) {
                 confirm(e, s.accuser());
             } else if (s.sameLife(held) && held.state() == State.DEAD && s.up()) {
                 figures.stale++;
@@ -565,8 +580,7 @@
 
     private static String why(Standing held, Standing s) {
         return switch (s.state()) {
-            case ALIVE -> !s.sameLife(held) ? "restarted" : held.state() == State.SUSPECT ? "contradicts"
-                : "is back";
+            case ALIVE -> !s.sameLife(held) ? "restarted" : held.state() == State.SUSPECT ? "contradicts" : "is back";
             case SUSPECT -> "suspected by " + s.accuser();
             case DEAD -> "declared dead, accused by " + s.accuser();
             case LEFT -> "has left";
@@ -575,8 +589,10 @@
 
     private void hearOfSelf(Standing s) {
         if (s.life() == own.life()) {
-            if (phase == Phase.MEMBER && s.epoch() == own.epoch() && s.state() != State.ALIVE
-                && s.incarnation() >= own.incarnation()) {
+            if (phase == Phase.MEMBER
+                    && s.epoch() == own.epoch()
+                    && s.state() != State.ALIVE
+                    && s.incarnation() >= own.incarnation()) {
                 figures.refutations++;
                 feel(1); // whoever is accused has been slow itself
                 own = own.reclaimed(s.incarnation() + 1);
@@ -595,10 +611,14 @@
             own = inEpoch(s.epoch() + 1);
             spread(ownEntry, own);
         } else if (checking.add("self" + s.life())) {
-            check(s, () -> refuse(taken(s)), () -> {
-                own = inEpoch(s.epoch() + 1);
-                spread(ownEntry, own);
-            }, () -> checking.remove("self" + s.life()));
+            check(
+                    s,
+                    () -> refuse(taken(s)),
+                    () -> {
+                        own = inEpoch(s.epoch() + 1);
+                        spread(ownEntry, own);
+                    },
+                    () -> checking.remove("self" + s.life()));
         }
     }
 
@@ -732,7 +752,7 @@
         List<Standing> news = new ArrayList<>();
         List<Rumour> again = new ArrayList<>();
         int most = (int) (TELLINGS * Math.ceil(Math.log10(up.size() + 2)));
-        for (int bytes = 0; bytes < NEWS_BYTES && !rumours.isEmpty();) {
+        for (int bytes = 0; bytes < NEWS_BYTES && !rumours.isEmpty(); ) {
             Rumour r = rumours.pollFirst();
             bytes += r.standing.weight();
             news.add(r.standing);
@@ -779,8 +799,9 @@
             Standing one = lost.get(random.nextInt(lost.size()));
             host.send(one.name(), one.address(), new Exchange(false, all()));
         }
-        after(jittered(lost.isEmpty() ? exchangeSpan() : Math.min(exchangeSpan(), options.exchangeNs())),
-            this::exchange);
+        after(
+                jittered(lost.isEmpty() ? exchangeSpan() : Math.min(exchangeSpan(), options.exchangeNs())),
+                this::exchange);
     }
 
     // ---- Time
--- a/src/main/java/beechseam/fleet/membership/Message.java
+++ b/src/main/java/beechseam/fleet/membership/Message.java
@@ -10,41 +10,32 @@
      * Are you there? {@code target} and {@code life} say who is meant: another process at that address is
      * silent. A life of 0 means whoever has the name.
      */
-    record Ping(long sequence, String target, long life, List<Standing> news) implements Message {
-    }
+    record Ping(long sequence, String target, long life, List<Standing> news) implements Message {}
 
     /** Ask the target for me, I do not hear it; to be answered by {@link Ack} or, in time, {@link Nack}. */
     record PingRequest(long sequence, String target, long life, String address, List<Standing> news)
-        implements Message {
-    }
+            implements Message {}
 
     /** The answer to a ping, or to a request for one: the target is there. */
-    record Ack(long sequence, List<Standing> news) implements Message {
-    }
+    record Ack(long sequence, List<Standing> news) implements Message {}
 
     /** I am there, but the target does not answer me either. */
-    record Nack(long sequence, List<Standing> news) implements Message {
-    }
+    record Nack(long sequence, List<Standing> news) implements Message {}
 
     /** News alone, where there is some and nothing else to say. */
-    record Gossip(List<Standing> news) implements Message {
-    }
+    record Gossip(List<Standing> news) implements Message {}
 
     /** A process asks to be let in under the name of {@code self}; its epoch counts for nothing yet. */
-    record Join(Standing self, List<Standing> news) implements Message {
-    }
+    record Join(Standing self, List<Standing> news) implements Message {}
 
     /** Let in: all that is known, the name's earlier lives too. */
-    record Welcome(List<Standing> news) implements Message {
-    }
+    record Welcome(List<Standing> news) implements Message {}
 
     /** Not let in. */
-    record Refusal(String why, List<Standing> news) implements Message {
-    }
+    record Refusal(String why, List<Standing> news) implements Message {}
 
     /** All that is known; whoever gets one with {@code reply} false sends his own back. */
-    record Exchange(boolean reply, List<Standing> news) implements Message {
-    }
+    record Exchange(boolean reply, List<Standing> news) implements Message {}
 
     /** About how many bytes it takes on a link, its frame included. */
     default int weight() {
--- a/src/main/java/beechseam/fleet/membership/Options.java
+++ b/src/main/java/beechseam/fleet/membership/Options.java
@@ -15,9 +15,16 @@
  * @param health     whether a node that is slow itself gives others more time (Lifeguard)
  * @param seeds      addresses to ask at the start, and again while nobody there is a member
  */
-public record Options(long probeNs, long timeoutNs, int helpers, double patience, double doubtful,
-    long exchangeNs,
-                      long forgetNs, boolean health, List<String> seeds) {
+public record Options(
+        long probeNs,
+        long timeoutNs,
+        int helpers,
+        double patience,
+        double doubtful,
+        long exchangeNs,
+        long forgetNs,
+        boolean health,
+        List<String> seeds) {
     public static final long SECOND = 1_000_000_000L;
 
     /** What the operator's file has by default. */
--- a/src/main/java/beechseam/fleet/membership/Standing.java
+++ b/src/main/java/beechseam/fleet/membership/Standing.java
@@ -16,10 +16,22 @@
  *             State#LEFT}
  * @param tags        zone, roles and whatever else it tells of itself; small, since it goes along everywhere
  */
-public record Standing(String name, String address, long epoch, long life, long incarnation, State state,
-                       String accuser, Map<String, String> tags) {
+public record Standing(
+        String name,
+        String address,
+        long epoch,
+        long life,
+        long incarnation,
+        State state,
+        String accuser,
+        Map<String, String> tags) {
     /** The later one wins among equals in all else. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum State {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     /** About the bytes it takes in a message, beside its texts. */
     private static final int FRAME = 34;
@@ -52,8 +64,7 @@
         if (held.state == State.LEFT || state == State.LEFT) {
             return held.state != State.LEFT;
         }
-        return incarnation != held.incarnation ? incarnation > held.incarnation
-            : state.compareTo(held.state) > 0;
+        return incarnation != held.incarnation ? incarnation > held.incarnation : state.compareTo(held.state) > 0;
     }
 
     /** The same life in another state. */
--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -65,8 +65,14 @@
     private String status() {
         StringBuilder s = new StringBuilder();
         for (GearmanFunction f : sorted()) {
-            s.append(f.name).append('\t').append(f.alive).append('\t').append(f.running).append('\t')
-                .append(f.cohorts.members()).append('\n');
+            s.append(f.name)
+                    .append('\t')
+                    .append(f.alive)
+                    .append('\t')
+                    .append(f.running)
+                    .append('\t')
+                    .append(f.cohorts.members())
+                    .append('\n');
         }
         return s.append(END).toString();
     }
@@ -76,8 +82,7 @@
         for (GearmanFunction f : sorted()) {
             s.append(f.name);
             for (int priority = 0; priority < GearmanFunction.PRIORITIES; priority++) {
-                int later = priority == 1 ? f.clock.size()
-                    : 0; // those that wait for the clock are normal ones
+                int later = priority == 1 ? f.clock.size() : 0; // those that wait for the clock are normal ones
                 s.append('\t').append(f.lines.waiting(priority) + later);
             }
             s.append('\t').append(f.cohorts.members()).append('\n');
@@ -89,9 +94,12 @@
         StringBuilder s = new StringBuilder();
         for (GearmanConnection each : server.connections()) {
             WorkerSession w = each.worker();
-            s.append(w == null ? 0
-                : w.number).append(' ').append(each.peer()).append(' ').append(each.clientId())
-                .append(" :");
+            s.append(w == null ? 0 : w.number)
+                    .append(' ')
+                    .append(each.peer())
+                    .append(' ')
+                    .append(each.clientId())
+                    .append(" :");
             if (w != null) {
                 w.functions().forEach(name -> s.append(' ').append(name));
             }
@@ -156,7 +164,10 @@
         if (words.length == 2 && words[1].equals("jobs")) {
             StringBuilder s = new StringBuilder();
             for (GearmanJob job : server.jobs.all()) { // handle, retries, ignored, waiting
-                s.append(job.handle()).append("\t0\t0\t").append(job.running() ? 0 : 1).append('\n');
+                s.append(job.handle())
+                        .append("\t0\t0\t")
+                        .append(job.running() ? 0 : 1)
+                        .append('\n');
             }
             return s.append(END).toString();
         }
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -29,6 +29,7 @@
     private final Set<GearmanJob> waitsFor = new LinkedHashSet<>();
     /** Jobs that it submitted and that have not ended, waited for or not. */
     int open;
+
     private boolean exceptions;
 
     ClientSession(GearmanServer server, GearmanConnection connection) {
@@ -77,8 +78,7 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        connection.error("BAD_ARGUMENTS",
-            "SUBMIT_JOB_EPOCH needs whole seconds since 1970, at most ten years ahead");
+        connection.error("BAD_ARGUMENTS", "SUBMIT_JOB_EPOCH needs whole seconds since 1970, at most ten years ahead");
         return 0;
     }
 
@@ -86,8 +86,13 @@
         try {
             long now = server.loop.now();
             Instant instant = Instant.ofEpochSecond(now / 1_000_000_000L, now % 1_000_000_000L);
-            ZonedDateTime at = Schedule.next(ZonedDateTime.ofInstant(instant, ZoneId.systemDefault()),
-                args.text(2), args.text(3), args.text(4), args.text(5), args.text(6));
+            ZonedDateTime at = Schedule.next(
+                    ZonedDateTime.ofInstant(instant, ZoneId.systemDefault()),
+                    args.text(2),
+                    args.text(3),
+                    args.text(4),
+                    args.text(5),
+                    args.text(6));
             return at.toEpochSecond() * 1_000_000_000L;
         } catch (IllegalArgumentException e) {
             connection.error("BAD_ARGUMENTS", "SUBMIT_JOB_SCHED: " + e.getMessage());
@@ -97,8 +102,7 @@
 
     /** Whether a name can stand in a line of an admin answer. */
     static boolean goodName(String name) {
-        return !name.isEmpty() && name.length() <= MOST_NAME && name.chars().noneMatch(c -> c < ' '
-            || c == 127);
+        return !name.isEmpty() && name.length() <= MOST_NAME && name.chars().noneMatch(c -> c < ' ' || c == 127);
     }
 
     /**
@@ -109,8 +113,10 @@
         String name = args.text(0);
         String unique = args.text(1);
         if (!goodName(name) || args.length(1) > MOST_UNIQUE) {
-            connection.error("BAD_ARGUMENTS", "a function's name has 1 to " + MOST_NAME
-                + " characters and none that controls, a key at most " + MOST_UNIQUE + " bytes");
+            connection.error(
+                    "BAD_ARGUMENTS",
+                    "a function's name has 1 to " + MOST_NAME + " characters and none that controls, a key at most "
+                            + MOST_UNIQUE + " bytes");
             return;
         }
         GearmanFunction f = server.function(name, connection);
@@ -131,8 +137,8 @@
             }
             // Bytes of the whole packet where its array is kept, and what the job costs besides.
             int charge = Jobs.OVERHEAD + args.length(load) + args.length(1);
-            Refusal refusal = server.admission.check(server.jobs.size(), open, f.lines, mode.ordinal(),
-                charge, server.budget);
+            Refusal refusal =
+                    server.admission.check(server.jobs.size(), open, f.lines, mode.ordinal(), charge, server.budget);
             if (refusal != null) {
                 connection.error(refusal.code(), refusal.why());
                 return;
@@ -165,10 +171,11 @@
         Object running = job != null && job.running() ? "1" : "0";
         Object numerator = job == null ? "0" : job.numerator;
         Object denominator = job == null ? "0" : job.denominator;
-        connection.write(unique
-            ? Packet.STATUS_RES_UNIQUE.response(name, known, running, numerator, denominator,
-                job == null ? 0 : job.clientCount())
-            : Packet.STATUS_RES.response(name, known, running, numerator, denominator));
+        connection.write(
+                unique
+                        ? Packet.STATUS_RES_UNIQUE.response(
+                                name, known, running, numerator, denominator, job == null ? 0 : job.clientCount())
+                        : Packet.STATUS_RES.response(name, known, running, numerator, denominator));
     }
 
     void option(String name) {
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -33,6 +33,7 @@
 
     /** Workers that wait for this client to read. */
     private final Set<GearmanConnection> heldUp = new LinkedHashSet<>();
+
     private final GearmanServer server;
     private final PacketDecoder decoder;
     private final ClientSession session;
@@ -44,6 +45,7 @@
     private boolean starved;
     /** Room that its unfinished long packet holds: of workloads, or of what goes to clients. */
     private int reserved;
+
     private boolean reservedForJob;
     private boolean spoken;
 
@@ -93,8 +95,7 @@
     protected void received(ByteBuffer in) {
         spoken = true;
         boolean more = true;
-        while (more && in.hasRemaining()
-            && !paused()) { // packets and lines may follow each other in any order
+        while (more && in.hasRemaining() && !paused()) { // packets and lines may follow each other in any order
             more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : line(in);
         }
     }
@@ -108,8 +109,9 @@
                 server.admin.answer(new String(text, StandardCharsets.UTF_8).trim(), this);
                 return true;
             }
-            if (c >= 0 && c < ' ' && c != '\r' && c != '\t' || i - in.position() > MAX_LINE
-                || i == in.position() && c < 0) {
+            if (c >= 0 && c < ' ' && c != '\r' && c != '\t'
+                    || i - in.position() > MAX_LINE
+                    || i == in.position() && c < 0) {
                 broken("BAD_MAGIC", "neither a packet nor an admin line");
                 return false;
             }
@@ -138,8 +140,10 @@
     public PacketDecoder.Verdict longPacket(Packet kind, int size) {
         boolean job = kind.name().startsWith("SUBMIT_");
         if (job && !server.budget.takeJob(size)) {
-            error("MEMORY_LIMIT", "max_memory_mb: workloads hold " + server.budget.jobs() + " bytes of "
-                + server.budget.mostJobs() + ", and this one has " + size);
+            error(
+                    "MEMORY_LIMIT",
+                    "max_memory_mb: workloads hold " + server.budget.jobs() + " bytes of " + server.budget.mostJobs()
+                            + ", and this one has " + size);
             return PacketDecoder.Verdict.SKIP;
         }
         if (!job && !server.budget.takeResult(size, server.unread())) {
@@ -181,10 +185,16 @@
 
     private void handle(Packet kind, Arguments args) {
         switch (kind) {
-            case SUBMIT_JOB, SUBMIT_JOB_HIGH, SUBMIT_JOB_LOW, SUBMIT_JOB_BG, SUBMIT_JOB_HIGH_BG,
-                SUBMIT_JOB_LOW_BG,
-                SUBMIT_JOB_SCHED, SUBMIT_JOB_EPOCH, SUBMIT_REDUCE_JOB, SUBMIT_REDUCE_JOB_BACKGROUND ->
-                session.submit(kind, args);
+            case SUBMIT_JOB,
+                    SUBMIT_JOB_HIGH,
+                    SUBMIT_JOB_LOW,
+                    SUBMIT_JOB_BG,
+                    SUBMIT_JOB_HIGH_BG,
+                    SUBMIT_JOB_LOW_BG,
+                    SUBMIT_JOB_SCHED,
+                    SUBMIT_JOB_EPOCH,
+                    SUBMIT_REDUCE_JOB,
+                    SUBMIT_REDUCE_JOB_BACKGROUND -> session.submit(kind, args);
             case GET_STATUS -> session.status(args.text(0), false);
             case GET_STATUS_UNIQUE -> session.status(args.text(0), true);
             case OPTION_REQ -> session.option(args.text(0));
--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -34,6 +34,7 @@
 final class GearmanFunction implements Egress, FunctionTurns.Contender {
     /** Jobs whose time runs out are handed over so many at once, so that others get their turn in between. */
     private static final int EXPIRED_AT_ONCE = 500;
+
     private static final long SOON_NS = 1_000_000L;
     /**
      * The module's least tick, and how many it has in an aim. It gives a job up two ticks before its
@@ -41,9 +42,11 @@
      * answer might be over.
      */
     private static final long MIN_TICK_NS = 20_000_000L;
+
     private static final int TICKS_PER_AIM = 8;
     /** High, normal, low. */
     static final int PRIORITIES = 3;
+
     private static final int TICKS_AHEAD = 2;
 
     /**
@@ -63,16 +66,19 @@
     private final long leadNs;
     /** Attempts that a cohort has been given beyond its free workers, by cohort; most of the time none. */
     private final Map<Long, ArrayDeque<Attempt>> parked = new HashMap<>();
+
     private Engine engine;
     private boolean awake;
     private long awakeAt;
     /** Jobs that have not ended, those among them that run, and those the module has and never sent. */
     int alive;
+
     int running;
     int unplaced;
     private long lastTurn;
     /** An operator made it, so it stays until one drops it. */
     boolean pinned;
+
     private final Timer expiry = new Timer() {
         @Override
         protected void fire() {
@@ -212,8 +218,7 @@
         long left = Math.max(1, job.since + of(job.mode).deadlineNs() - server.loop.now());
         // Its client's try is the first that the module sees: less time in hand than usual is the line's
         // doing.
-        job.request = engine.take(job.handle(), new Job(0, job.mode.ordinal(), left, 0, 1, 0, true), job,
-            job);
+        job.request = engine.take(job.handle(), new Job(0, job.mode.ordinal(), left, 0, 1, 0, true), job, job);
     }
 
     /**
@@ -378,8 +383,13 @@
         }
         awake = true;
         if (engine == null) {
-            engine = new Engine(server.config.settings(name, known), server.seed ^ name.hashCode(),
-                server.loop::now, server.loop.timers, this, counters);
+            engine = new Engine(
+                    server.config.settings(name, known),
+                    server.seed ^ name.hashCode(),
+                    server.loop::now,
+                    server.loop.timers,
+                    this,
+                    counters);
         }
         for (Member<WorkerSession> m : cohorts.everyone()) {
             cohorts.load(m, m.worker.held(), m.worker.slots());
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -18,7 +18,12 @@
  */
 final class GearmanJob implements Ingress, Waiting {
     /** Where it is; it moves down this list only, and each but ENDED holds room for its workload. */
-    enum Stage { CLOCK, LINE, MODULE, ENDED }
+    enum Stage {
+        CLOCK,
+        LINE,
+        MODULE,
+        ENDED
+    }
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
@@ -37,10 +42,12 @@
      * chain.
      */
     Object key;
+
     GearmanJob sameKey;
     ByteBuffer workload;
     /** What the first worker to complete it gave, until the clients have it. */
     ByteBuffer result;
+
     Stage stage = Stage.LINE;
     /** When it came into line. */
     long since;
@@ -50,18 +57,27 @@
     boolean placed;
     /** Workers that hold it now: two while a copy runs. */
     int runs;
+
     Object dueMark;
     Request request;
     /** The attempt whose data the clients are shown: of two copies only one speaks. */
     private Attempt speaker;
+
     private GearmanConnection client;
     private List<GearmanConnection> others;
     String numerator = "0";
     String denominator = "0";
 
-    GearmanJob(long number, GearmanFunction function, String unique, Object key, ByteBuffer workload,
-        Mode mode,
-               String reducer, ClientSession submitter, int charge) {
+    GearmanJob(
+            long number,
+            GearmanFunction function,
+            String unique,
+            Object key,
+            ByteBuffer workload,
+            Mode mode,
+            String reducer,
+            ClientSession submitter,
+            int charge) {
         this.number = number;
         this.function = function;
         this.unique = unique;
@@ -160,8 +176,7 @@
         if (client == null) {
             return;
         }
-        ByteBuffer head = data == null || !data.hasRemaining() ? null
-            : kind.responseBefore(data.remaining(), args);
+        ByteBuffer head = data == null || !data.hasRemaining() ? null : kind.responseBefore(data.remaining(), args);
         Object[] all = args;
         if (head == null && data != null) { // an empty last argument has its NUL before it all the same
             all = java.util.Arrays.copyOf(args, args.length + 1);
@@ -197,15 +212,20 @@
     @Override
     public void shed(Request r, long pauseNs) {
         // WORK_FAIL has no room for it, so the advice goes ahead as an exception to those that asked.
-        forward(Packet.WORK_EXCEPTION, ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s",
-            pauseNs / 1e9).getBytes(java.nio.charset.StandardCharsets.UTF_8)), handle());
+        forward(
+                Packet.WORK_EXCEPTION,
+                ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s", pauseNs / 1e9)
+                        .getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+                handle());
         fail(Jobs.End.SHED);
     }
 
     @Override
     public void failed(Request r, String why) {
-        forward(Packet.WORK_EXCEPTION, ByteBuffer.wrap(("failed: " + why).getBytes(
-            java.nio.charset.StandardCharsets.UTF_8)), handle());
+        forward(
+                Packet.WORK_EXCEPTION,
+                ByteBuffer.wrap(("failed: " + why).getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+                handle());
         fail(Jobs.End.FAILED);
     }
 
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -52,6 +52,7 @@
     private final Map<String, GearmanFunction> functions = new LinkedHashMap<>();
     /** Functions with waiting jobs. */
     private final Set<GearmanFunction> hot = new LinkedHashSet<>();
+
     private final FunctionTurns<GearmanFunction> turns;
     private final Set<String> drained = new HashSet<>();
     private final Timer sweep = new Timer() {
@@ -64,7 +65,7 @@
     private boolean stopping;
     private long stopBy;
     private boolean farewell;
-    private Runnable onStop = () -> { };
+    private Runnable onStop = () -> {};
 
     public GearmanServer(EventLoop loop, GearmanConfig config, long seed) throws IOException {
         this.loop = loop;
@@ -72,11 +73,12 @@
         this.seed = seed;
         budget = new ByteBudget(config.bounds().memory());
         jobs = new Jobs(config.name(), budget);
-        admission = new Admission(new Admission.Limits(config.bounds().jobs(),
-            config.bounds().jobsPerClient()));
+        admission = new Admission(
+                new Admission.Limits(config.bounds().jobs(), config.bounds().jobsPerClient()));
         turns = new FunctionTurns<>(config.turns().ageingTurn(), config.turns().ageingNs());
-        config.functions().keySet().stream().filter(name -> !name.equals(GearmanConfig.ANY))
-            .forEach(name -> make(name).pinned = true);
+        config.functions().keySet().stream()
+                .filter(name -> !name.equals(GearmanConfig.ANY))
+                .forEach(name -> make(name).pinned = true);
         listener = new Listener(loop, config.listen(), this::accept);
         loop.timers.set(sweep, loop.now() + SWEEP_NS);
         LOG.log(Level.INFO, config.name() + " listens for Gearman on " + listener.address());
@@ -97,16 +99,26 @@
 
     /** How a job was taken and ended, for operators: accepted is alive plus all that ended. */
     public String figures() {
-        StringBuilder s = new StringBuilder("{\"accepted\":").append(jobs.accepted()).append(",\"alive\":")
-            .append(jobs.size());
+        StringBuilder s = new StringBuilder("{\"accepted\":")
+                .append(jobs.accepted())
+                .append(",\"alive\":")
+                .append(jobs.size());
         for (Jobs.End end : Jobs.End.values()) {
-            s.append(",\"").append(end.name().toLowerCase(java.util.Locale.ROOT)).append("\":")
-                .append(jobs.ended(end));
+            s.append(",\"")
+                    .append(end.name().toLowerCase(java.util.Locale.ROOT))
+                    .append("\":")
+                    .append(jobs.ended(end));
         }
-        return s.append(",\"workload_bytes\":").append(budget.jobs()).append(",\"connections\":")
-            .append(connections.size()).append(",\"functions\":").append(functions.size())
-            .append(",\"module\":")
-            .append(counters()).append('}').toString();
+        return s.append(",\"workload_bytes\":")
+                .append(budget.jobs())
+                .append(",\"connections\":")
+                .append(connections.size())
+                .append(",\"functions\":")
+                .append(functions.size())
+                .append(",\"module\":")
+                .append(counters())
+                .append('}')
+                .toString();
     }
 
     static String version() {
@@ -293,8 +305,7 @@
                 each.worker().drain(on);
             }
         }
-        LOG.log(Level.INFO, "workers of client id " + clientId + (on ? " get nothing new"
-            : " may serve again"));
+        LOG.log(Level.INFO, "workers of client id " + clientId + (on ? " get nothing new" : " may serve again"));
     }
 
     /** A worker may have become free: jobs of functions that it can do go before their modules, in turns. */
@@ -414,12 +425,14 @@
             done.run();
             return;
         }
-        loop.timers.set(new Timer() {
-            @Override
-            protected void fire() {
-                stop(done);
-            }
-        }, now + LINGER_CHECK_NS);
+        loop.timers.set(
+                new Timer() {
+                    @Override
+                    protected void fire() {
+                        stop(done);
+                    }
+                },
+                now + LINGER_CHECK_NS);
     }
 
     /** Jobs that nobody waits for and that have not begun; with {@code all}, whatever is left, answered. */
@@ -439,8 +452,8 @@
                 giveUp(job, () -> job.shed(job.request, config.limits().maxRetryAfterNs()));
             }
         }
-        dropped.forEach((name, count) -> LOG.log(Level.WARNING, "stopping: " + count
-            + " background jobs of " + name
-            + (all ? " had not ended" : " were not run")));
+        dropped.forEach((name, count) -> LOG.log(
+                Level.WARNING,
+                "stopping: " + count + " background jobs of " + name + (all ? " had not ended" : " were not run")));
     }
 }
--- a/src/main/java/beechseam/gearman/Jobs.java
+++ b/src/main/java/beechseam/gearman/Jobs.java
@@ -15,7 +15,14 @@
      * How a job ended. LEFT: nobody waited for it any more; LOST: it waited in the background as the server
      * stopped.
      */
-    enum End { SERVED, SHED, FAILED, LEFT, CANCELLED, LOST }
+    enum End {
+        SERVED,
+        SHED,
+        FAILED,
+        LEFT,
+        CANCELLED,
+        LOST
+    }
 
     /** What a job costs besides its workload, in bytes, as seen by measurement with keys of ten letters. */
     static final int OVERHEAD = 400;
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -32,8 +32,7 @@
     }
 
     /** A function that it can do; {@code seconds} that a job may take, 0 for no limit. */
-    private record Ability(GearmanFunction function, Member<WorkerSession> member, int seconds) {
-    }
+    private record Ability(GearmanFunction function, Member<WorkerSession> member, int seconds) {}
 
     /** A job that it holds, also once nobody waits for it any more: only the worker can end that. */
     private static final class Run {
@@ -104,8 +103,11 @@
 
     /** Whether it may be given a job now. */
     boolean free() {
-        return (state == State.ASKING || state == State.ASLEEP) && parked == null && !drained
-            && held.size() < server.config.bounds().slots() && !connection.closed();
+        return (state == State.ASKING || state == State.ASLEEP)
+                && parked == null
+                && !drained
+                && held.size() < server.config.bounds().slots()
+                && !connection.closed();
     }
 
     // ---- What it says of itself
@@ -329,8 +331,8 @@
         attempt.begun();
         switch (how) {
             case GRAB_JOB_UNIQ -> hand(Packet.JOB_ASSIGN_UNIQ, job, handle, f.name, job.unique);
-            case GRAB_JOB_ALL -> hand(Packet.JOB_ASSIGN_ALL, job, handle, f.name, job.unique,
-                job.reducer == null ? "" : job.reducer);
+            case GRAB_JOB_ALL ->
+                hand(Packet.JOB_ASSIGN_ALL, job, handle, f.name, job.unique, job.reducer == null ? "" : job.reducer);
             default -> hand(Packet.JOB_ASSIGN, job, handle, f.name);
         }
         Ability a = abilities.get(f.name);
--- a/src/main/java/beechseam/gearman/protocol/Packet.java
+++ b/src/main/java/beechseam/gearman/protocol/Packet.java
@@ -8,30 +8,61 @@
  * many arguments it carries. Number 5 was never given out.
  */
 public enum Packet {
-    CAN_DO(1, 1, Side.WORKER), CANT_DO(2, 1, Side.WORKER), RESET_ABILITIES(3, 0, Side.WORKER),
-    PRE_SLEEP(4, 0, Side.WORKER), NOOP(6, 0, Side.SERVER), SUBMIT_JOB(7, 3, Side.CLIENT),
-    JOB_CREATED(8, 1, Side.SERVER), GRAB_JOB(9, 0, Side.WORKER), NO_JOB(10, 0, Side.SERVER),
-    JOB_ASSIGN(11, 3, Side.SERVER), WORK_STATUS(12, 3, Side.WORKER), WORK_COMPLETE(13, 2, Side.WORKER),
-    WORK_FAIL(14, 1, Side.WORKER), GET_STATUS(15, 1, Side.CLIENT), ECHO_REQ(16, 1, Side.BOTH),
-    ECHO_RES(17, 1, Side.SERVER), SUBMIT_JOB_BG(18, 3, Side.CLIENT), ERROR(19, 2, Side.SERVER),
-    STATUS_RES(20, 5, Side.SERVER), SUBMIT_JOB_HIGH(21, 3, Side.CLIENT), SET_CLIENT_ID(22, 1, Side.BOTH),
-    CAN_DO_TIMEOUT(23, 2, Side.WORKER), ALL_YOURS(24, 0, Side.WORKER), WORK_EXCEPTION(25, 2, Side.WORKER),
-    OPTION_REQ(26, 1, Side.BOTH), OPTION_RES(27, 1, Side.SERVER), WORK_DATA(28, 2, Side.WORKER),
-    WORK_WARNING(29, 2, Side.WORKER), GRAB_JOB_UNIQ(30, 0, Side.WORKER), JOB_ASSIGN_UNIQ(31, 4, Side.SERVER),
-    SUBMIT_JOB_HIGH_BG(32, 3, Side.CLIENT), SUBMIT_JOB_LOW(33, 3, Side.CLIENT),
-    SUBMIT_JOB_LOW_BG(34, 3, Side.CLIENT), SUBMIT_JOB_SCHED(35, 8, Side.CLIENT),
-    SUBMIT_JOB_EPOCH(36, 4, Side.CLIENT), SUBMIT_REDUCE_JOB(37, 4, Side.CLIENT),
-    SUBMIT_REDUCE_JOB_BACKGROUND(38, 4, Side.CLIENT), GRAB_JOB_ALL(39, 0, Side.WORKER),
-    JOB_ASSIGN_ALL(40, 5, Side.SERVER), GET_STATUS_UNIQUE(41, 1, Side.CLIENT),
+    CAN_DO(1, 1, Side.WORKER),
+    CANT_DO(2, 1, Side.WORKER),
+    RESET_ABILITIES(3, 0, Side.WORKER),
+    PRE_SLEEP(4, 0, Side.WORKER),
+    NOOP(6, 0, Side.SERVER),
+    SUBMIT_JOB(7, 3, Side.CLIENT),
+    JOB_CREATED(8, 1, Side.SERVER),
+    GRAB_JOB(9, 0, Side.WORKER),
+    NO_JOB(10, 0, Side.SERVER),
+    JOB_ASSIGN(11, 3, Side.SERVER),
+    WORK_STATUS(12, 3, Side.WORKER),
+    WORK_COMPLETE(13, 2, Side.WORKER),
+    WORK_FAIL(14, 1, Side.WORKER),
+    GET_STATUS(15, 1, Side.CLIENT),
+    ECHO_REQ(16, 1, Side.BOTH),
+    ECHO_RES(17, 1, Side.SERVER),
+    SUBMIT_JOB_BG(18, 3, Side.CLIENT),
+    ERROR(19, 2, Side.SERVER),
+    STATUS_RES(20, 5, Side.SERVER),
+    SUBMIT_JOB_HIGH(21, 3, Side.CLIENT),
+    SET_CLIENT_ID(22, 1, Side.BOTH),
+    CAN_DO_TIMEOUT(23, 2, Side.WORKER),
+    ALL_YOURS(24, 0, Side.WORKER),
+    WORK_EXCEPTION(25, 2, Side.WORKER),
+    OPTION_REQ(26, 1, Side.BOTH),
+    OPTION_RES(27, 1, Side.SERVER),
+    WORK_DATA(28, 2, Side.WORKER),
+    WORK_WARNING(29, 2, Side.WORKER),
+    GRAB_JOB_UNIQ(30, 0, Side.WORKER),
+    JOB_ASSIGN_UNIQ(31, 4, Side.SERVER),
+    SUBMIT_JOB_HIGH_BG(32, 3, Side.CLIENT),
+    SUBMIT_JOB_LOW(33, 3, Side.CLIENT),
+    SUBMIT_JOB_LOW_BG(34, 3, Side.CLIENT),
+    SUBMIT_JOB_SCHED(35, 8, Side.CLIENT),
+    SUBMIT_JOB_EPOCH(36, 4, Side.CLIENT),
+    SUBMIT_REDUCE_JOB(37, 4, Side.CLIENT),
+    SUBMIT_REDUCE_JOB_BACKGROUND(38, 4, Side.CLIENT),
+    GRAB_JOB_ALL(39, 0, Side.WORKER),
+    JOB_ASSIGN_ALL(40, 5, Side.SERVER),
+    GET_STATUS_UNIQUE(41, 1, Side.CLIENT),
     STATUS_RES_UNIQUE(42, 6, Side.SERVER);
 
     /** Who sends a packet. */
-    public enum Side { CLIENT, WORKER, BOTH, SERVER }
+    public enum Side {
+        CLIENT,
+        WORKER,
+        BOTH,
+        SERVER
+    }
 
     /** Bytes of the frame: magic, number, length. */
     public static final int HEADER = 12;
     /** The magic of what a server is sent, {@code \0REQ}, and of what it says, {@code \0RES}. */
     public static final int REQ = 0x00524551;
+
     public static final int RES = 0x00524553;
     private static final Packet[] BY_CODE = new Packet[43];
 
@@ -44,6 +75,7 @@
     public final int code;
     /** How many arguments it has; NULs part them, and the last may hold any bytes. */
     public final int arguments;
+
     public final Side side;
 
     Packet(int code, int arguments, Side side) {
@@ -80,8 +112,8 @@
         byte[][] parts = new byte[args.length][];
         int size = last == 0 ? Math.max(0, args.length - 1) : args.length; // a NUL before what follows
         for (int i = 0; i < args.length; i++) {
-            parts[i] = args[i] instanceof byte[] bytes ? bytes
-                : args[i].toString().getBytes(StandardCharsets.UTF_8);
+            parts[i] =
+                    args[i] instanceof byte[] bytes ? bytes : args[i].toString().getBytes(StandardCharsets.UTF_8);
             size += parts[i].length;
         }
         ByteBuffer out = ByteBuffer.allocate(HEADER + size);
--- a/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
+++ b/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
@@ -11,7 +11,13 @@
  */
 public final class PacketDecoder {
     /** What the decoder waits for. */
-    public enum State { HEADER, BODY, LONG_BODY, SKIPPING, BROKEN }
+    public enum State {
+        HEADER,
+        BODY,
+        LONG_BODY,
+        SKIPPING,
+        BROKEN
+    }
 
     /** What to do with a packet that does not fit the read buffer. */
     public enum Verdict {
@@ -110,8 +116,9 @@
         }
         int size = in.getInt(at + 8);
         if (size < 0 || size > longest) {
-            return broken("TOO_LARGE", "a packet of " + Integer.toUnsignedString(size) + " bytes, where "
-                + longest + " are allowed");
+            return broken(
+                    "TOO_LARGE",
+                    "a packet of " + Integer.toUnsignedString(size) + " bytes, where " + longest + " are allowed");
         }
         int code = in.getInt(at + 4);
         kind = Packet.of(code);
@@ -143,8 +150,8 @@
         if (kind == null) {
             owner.unknown(code);
         } else {
-            owner.packet(kind, Arguments.of(in.array(), in.arrayOffset() + at + Packet.HEADER, size,
-                kind.arguments, false));
+            owner.packet(
+                    kind, Arguments.of(in.array(), in.arrayOffset() + at + Packet.HEADER, size, kind.arguments, false));
         }
         return true;
     }
--- a/src/main/java/beechseam/gearman/queue/Admission.java
+++ b/src/main/java/beechseam/gearman/queue/Admission.java
@@ -6,12 +6,10 @@
  */
 public final class Admission {
     /** A bound that a submission is past: a code for programs and words for people. */
-    public record Refusal(String code, String why) {
-    }
+    public record Refusal(String code, String why) {}
 
     /** The bounds, each a number of jobs. */
-    public record Limits(int jobs, int perClient) {
-    }
+    public record Limits(int jobs, int perClient) {}
 
     private final Limits limits;
 
@@ -31,20 +29,23 @@
      */
     public Refusal check(int jobs, int ofClient, JobLines<?> line, int level, long bytes, ByteBudget budget) {
         if (jobs >= limits.jobs()) {
-            return new Refusal("QUEUE_FULL", "max_jobs: this server holds " + jobs
-                + " jobs, the most it may");
+            return new Refusal("QUEUE_FULL", "max_jobs: this server holds " + jobs + " jobs, the most it may");
         }
         if (ofClient >= limits.perClient()) {
-            return new Refusal("CLIENT_LIMIT", "max_jobs_per_client: this connection has " + ofClient
-                + " jobs open, the most it may");
+            return new Refusal(
+                    "CLIENT_LIMIT",
+                    "max_jobs_per_client: this connection has " + ofClient + " jobs open, the most it may");
         }
         if (line.full(level)) {
-            return new Refusal("QUEUE_FULL", "maxqueue: " + line.waitingWith(level)
-                + " jobs of this function and priority wait, the most that may");
+            return new Refusal(
+                    "QUEUE_FULL",
+                    "maxqueue: " + line.waitingWith(level)
+                            + " jobs of this function and priority wait, the most that may");
         }
         if (!budget.takeJob(bytes)) {
-            return new Refusal("MEMORY_LIMIT", "max_memory_mb: workloads hold " + budget.jobs()
-                + " bytes of " + budget.mostJobs());
+            return new Refusal(
+                    "MEMORY_LIMIT",
+                    "max_memory_mb: workloads hold " + budget.jobs() + " bytes of " + budget.mostJobs());
         }
         return null;
     }
--- a/src/main/java/beechseam/gearman/queue/Cohorts.java
+++ b/src/main/java/beechseam/gearman/queue/Cohorts.java
@@ -29,8 +29,7 @@
     private static final double CLIP = 1.5;
 
     /** Where a worker is. */
-    public record Place(String zone, int cell) {
-    }
+    public record Place(String zone, int cell) {}
 
     /** One egress target. */
     public static final class Cohort<W> {
@@ -38,6 +37,7 @@
         public final Place place;
         /** Whether its members are in doubt; such ones are kept apart. */
         final boolean doubted;
+
         private final LinkedHashSet<Member<W>> free = new LinkedHashSet<>();
         private int members;
         private int slots;
@@ -46,6 +46,7 @@
         private int runs;
         /** What the module was last told. */
         public boolean shownReady;
+
         public boolean shown;
         /** When the module last had a report of its load, by the host's clock. */
         public long reportedAt;
@@ -185,8 +186,7 @@
         Cohort<W> best = null;
         if (cohorts.size() >= mostTargets) {
             for (Cohort<W> each : cohorts.values()) {
-                if (each.place.equals(place) && each.doubted == m.doubted
-                    && (best == null || less(m, each, best))) {
+                if (each.place.equals(place) && each.doubted == m.doubted && (best == null || less(m, each, best))) {
                     best = each;
                 }
             }
@@ -273,8 +273,10 @@
     /** Whether another cohort of the place is nearer, or one more may be made. */
     private boolean better(Member<W> m) {
         for (Cohort<W> each : cohorts.values()) {
-            if (each != m.cohort && each.place.equals(m.cohort.place) && !each.doubted
-                && Math.abs(each.pace - m.pace) < PACE_GAP) {
+            if (each != m.cohort
+                    && each.place.equals(m.cohort.place)
+                    && !each.doubted
+                    && Math.abs(each.pace - m.pace) < PACE_GAP) {
                 return true;
             }
         }
--- a/src/main/java/beechseam/gearman/queue/FairLine.java
+++ b/src/main/java/beechseam/gearman/queue/FairLine.java
@@ -28,6 +28,7 @@
     private final ArrayDeque<Lane<J>> turns = new ArrayDeque<>();
     /** All in the order in which they came: tells the oldest, and whose time runs out first. */
     private final ArrayDeque<J> byAge = new ArrayDeque<>();
+
     private int size;
 
     /** Jobs that wait. */
--- a/src/main/java/beechseam/gearman/queue/Schedule.java
+++ b/src/main/java/beechseam/gearman/queue/Schedule.java
@@ -74,7 +74,7 @@
             if (month >= 0 && at.getMonthValue() != month) {
                 at = at.plusMonths(1).withDayOfMonth(1).truncatedTo(ChronoUnit.DAYS);
             } else if (day >= 0 && at.getDayOfMonth() != day
-                || weekday >= 0 && at.getDayOfWeek().getValue() - 1 != weekday) {
+                    || weekday >= 0 && at.getDayOfWeek().getValue() - 1 != weekday) {
                 at = at.plusDays(1).truncatedTo(ChronoUnit.DAYS);
             } else if (hour >= 0 && at.getHour() != hour) {
                 at = at.plusHours(1).truncatedTo(ChronoUnit.HOURS);
@@ -100,6 +100,6 @@
             // told below, with its bounds
         }
         throw new IllegalArgumentException(name + " must be from " + least + " to " + most + ", not '"
-            + (text.length() > 20 ? text.substring(0, 20) + "..." : text) + "'");
+                + (text.length() > 20 ? text.substring(0, 20) + "..." : text) + "'");
     }
 }
--- a/src/main/java/beechseam/http/HttpParser.java
+++ b/src/main/java/beechseam/http/HttpParser.java
@@ -15,6 +15,7 @@
     private static final int FRAME_SHARE = 8;
     /** The most that the buffer of a connection for jobs must hold. */
     public static final int MAX_MESSAGE = maxMessage(MAX_BODY);
+
     private static final int MAX_CHUNK_LINE = 1024;
     private static final int MAX_HEADERS = 64;
 
@@ -26,6 +27,7 @@
     private int searched;
     /** Offset from the message's start of the first chunk that has not come whole; 0 before the first. */
     private int nextChunk;
+
     private int chunkedLength;
     private byte[] b;
     private Slice method = Slice.EMPTY;
@@ -230,8 +232,10 @@
             }
             int frames = line + 1 - from - total;
             if (frames > maxBody / FRAME_SHARE) {
-                throw new HttpException(413, "chunks whose frames take " + frames + " bytes or more; "
-                    + maxBody / FRAME_SHARE + " is the most");
+                throw new HttpException(
+                        413,
+                        "chunks whose frames take " + frames + " bytes or more; " + maxBody / FRAME_SHARE
+                                + " is the most");
             }
             if (size == 0) {
                 return trailers(from, line + 1, to);
@@ -252,7 +256,7 @@
     /** Passes over the trailers; the chunks, which begin at {@code from}, have all come. */
     private int trailers(int from, int trailer, int to) throws HttpException {
         int at = trailer;
-        for (boolean last = false; !last;) {
+        for (boolean last = false; !last; ) {
             int line = find('\n', at, to);
             if (line < 0) {
                 return -1;
@@ -270,7 +274,7 @@
     private void joinChunks(int from, int to) throws HttpException {
         int read = from;
         int write = from;
-        for (int size; (size = chunkSize(read, find('\n', read, to))) > 0;) {
+        for (int size; (size = chunkSize(read, find('\n', read, to))) > 0; ) {
             int data = find('\n', read, to) + 1;
             System.arraycopy(b, data, b, write, size);
             write += size;
--- a/src/main/java/beechseam/http/HttpWriter.java
+++ b/src/main/java/beechseam/http/HttpWriter.java
@@ -5,13 +5,17 @@
 
 /** Writes heads of HTTP/1.1 messages. */
 public final class HttpWriter {
-    private HttpWriter() {
-    }
+    private HttpWriter() {}
 
     /** A whole response; {@code headers} are further header lines, each with its line end. */
     public static ByteBuffer response(int status, String headers, byte[] body, boolean close) {
-        StringBuilder head = new StringBuilder(128).append("HTTP/1.1 ").append(status).append(' ')
-            .append(reason(status)).append("\r\n").append(headers);
+        StringBuilder head = new StringBuilder(128)
+                .append("HTTP/1.1 ")
+                .append(status)
+                .append(' ')
+                .append(reason(status))
+                .append("\r\n")
+                .append(headers);
         if (status != 204) {
             head.append("Content-Length: ").append(body.length).append("\r\n");
         }
@@ -23,8 +27,14 @@
 
     /** A whole request; {@code headers} are further header lines, each with its line end. */
     public static ByteBuffer request(String method, String target, String host, String headers, byte[] body) {
-        StringBuilder head = new StringBuilder(256).append(method).append(' ').append(target)
-            .append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n").append(headers);
+        StringBuilder head = new StringBuilder(256)
+                .append(method)
+                .append(' ')
+                .append(target)
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(host)
+                .append("\r\n")
+                .append(headers);
         if (body.length > 0 || method.equals("POST")) {
             head.append("Content-Length: ").append(body.length).append("\r\n");
         }
@@ -33,7 +43,10 @@
 
     private static ByteBuffer message(StringBuilder head, byte[] body) {
         byte[] start = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        return ByteBuffer.allocate(start.length + body.length).put(start).put(body).flip();
+        return ByteBuffer.allocate(start.length + body.length)
+                .put(start)
+                .put(body)
+                .flip();
     }
 
     private static String reason(int status) {
--- a/src/main/java/beechseam/http/ServerConnection.java
+++ b/src/main/java/beechseam/http/ServerConnection.java
@@ -16,6 +16,7 @@
     private static final long REQUEST_NS = 2_000_000_000L;
     /** Answers that are not read: so long for one, and no further request before most have been taken. */
     private static final long STALL_NS = 10_000_000_000L;
+
     private static final int MOST_UNREAD = 64 * 1024;
     /** A connection that has served may stand idle. */
     private static final long IDLE_NS = 120_000_000_000L;
@@ -156,8 +157,9 @@
             respond(408, "Content-Type: text/plain\r\n", text("the request did not come in time"));
         } else if (silent || idle() && now - lastActivity() > IDLE_NS) {
             closeUnlessAsked();
-        } else if (unwritten() > 0 ? now - lastActivity() > STALL_NS
-            : ending() && now - Math.max(endedAt, lastActivity()) > END_NS) {
+        } else if (unwritten() > 0
+                ? now - lastActivity() > STALL_NS
+                : ending() && now - Math.max(endedAt, lastActivity()) > END_NS) {
             // The time to close counts from when the last answer is out, however slowly it was read.
             fail(new IOException("the peer wastes its connection"));
         }
--- a/src/main/java/beechseam/http/Slice.java
+++ b/src/main/java/beechseam/http/Slice.java
@@ -29,8 +29,10 @@
     public boolean isToken() {
         for (int i = from; i < from + length; i++) {
             int c = bytes[i];
-            boolean good = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-                || c > 0 && "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
+            boolean good = c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c >= '0' && c <= '9'
+                    || c > 0 && "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
             if (!good) {
                 return false;
             }
--- a/src/main/java/beechseam/importer/ApacheBalancer.java
+++ b/src/main/java/beechseam/importer/ApacheBalancer.java
@@ -11,18 +11,19 @@
 /** Reads the balancers of an Apache httpd configuration: mod_proxy_balancer's {@code BalancerMember}s. */
 final class ApacheBalancer {
     private static final Pattern OPEN =
-        Pattern.compile("<Proxy\\s+\"?balancer://([^\\s\"/>]+)/?\"?\\s*>", Pattern.CASE_INSENSITIVE);
+            Pattern.compile("<Proxy\\s+\"?balancer://([^\\s\"/>]+)/?\"?\\s*>", Pattern.CASE_INSENSITIVE);
     private static final Pattern CLOSE = Pattern.compile("</Proxy\\s*>", Pattern.CASE_INSENSITIVE);
-    private static final Pattern URL = Pattern.compile(
-        "(http|ajp|https|h2|h2c|fcgi)://([^/\\s:\"]+)(?::(\\d+))?\\S*", Pattern.CASE_INSENSITIVE);
+    private static final Pattern URL =
+            Pattern.compile("(http|ajp|https|h2|h2c|fcgi)://([^/\\s:\"]+)(?::(\\d+))?\\S*", Pattern.CASE_INSENSITIVE);
     private static final Pattern WORD = Pattern.compile("\"([^\"]*)\"|(\\S+)");
 
-    private ApacheBalancer() {
-    }
+    private ApacheBalancer() {}
 
     static boolean looksLike(String text) {
-        return Pattern.compile("^\\s*(<Proxy\\s+\"?balancer:|BalancerMember\\s)",
-            Pattern.CASE_INSENSITIVE | Pattern.MULTILINE).matcher(text).find();
+        return Pattern.compile(
+                        "^\\s*(<Proxy\\s+\"?balancer:|BalancerMember\\s)", Pattern.CASE_INSENSITIVE | Pattern.MULTILINE)
+                .matcher(text)
+                .find();
     }
 
     static List<Route> read(String text, String zone, List<String> warnings) throws ImportException {
@@ -49,10 +50,11 @@
         return routes;
     }
 
-    private static void member(String line, int number, String enclosing, String zone, List<Route> routes,
-                               List<String> warnings) throws ImportException {
+    private static void member(
+            String line, int number, String enclosing, String zone, List<Route> routes, List<String> warnings)
+            throws ImportException {
         List<String> words = new ArrayList<>();
-        for (Matcher m = WORD.matcher(line); m.find();) {
+        for (Matcher m = WORD.matcher(line); m.find(); ) {
             words.add(m.group(1) != null ? m.group(1) : m.group(2));
         }
         words.remove(0);
@@ -65,8 +67,7 @@
         }
         Matcher url = words.isEmpty() ? null : URL.matcher(words.get(0));
         if (url == null || !url.matches()) {
-            throw new ImportException("line " + number
-                + ": BalancerMember needs a URL such as http://10.0.0.1:8080");
+            throw new ImportException("line " + number + ": BalancerMember needs a URL such as http://10.0.0.1:8080");
         }
         Map<String, String> options = new TreeMap<>();
         for (String each : words.subList(1, words.size())) {
@@ -83,12 +84,10 @@
             warnings.add("line " + number + ": " + name + " is stopped or a hot standby, left out");
             return;
         }
-        double factor = number(options.getOrDefault("loadfactor", "1"), 1, 100,
-            "line " + number + ": loadfactor");
+        double factor = number(options.getOrDefault("loadfactor", "1"), 1, 100, "line " + number + ": loadfactor");
         int set = (int) number(options.getOrDefault("lbset", "0"), 0, 99, "line " + number + ": lbset");
         // Draining and disabled members finish what they have; both take nothing new.
-        routes.add(new Route(name, address, zone, balancer, set, factor,
-            status.contains("N") || status.contains("D")));
+        routes.add(new Route(name, address, zone, balancer, set, factor, status.contains("N") || status.contains("D")));
     }
 
     /** The signs that are set: {@code +D-S} sets D and clears S; without a sign they are set. */
--- a/src/main/java/beechseam/importer/Importer.java
+++ b/src/main/java/beechseam/importer/Importer.java
@@ -14,7 +14,11 @@
 /** Takes over the workers of Apache's balancer or mod_jk files as a list in discovery's form. */
 public final class Importer {
     /** What kind of file it is; {@code AUTO} looks. */
-    public enum Form { AUTO, APACHE, MODJK }
+    public enum Form {
+        AUTO,
+        APACHE,
+        MODJK
+    }
 
     private final List<String> warnings = new ArrayList<>();
 
@@ -24,13 +28,15 @@
     }
 
     public List<Route> read(String text, Form form, String zone) throws ImportException {
-        Form found = form != Form.AUTO ? form : ApacheBalancer.looksLike(text) ? Form.APACHE
-            : ModJkWorkers.looksLike(text) ? Form.MODJK : null;
+        Form found = form != Form.AUTO
+                ? form
+                : ApacheBalancer.looksLike(text) ? Form.APACHE : ModJkWorkers.looksLike(text) ? Form.MODJK : null;
         if (found == null) {
             throw new ImportException("neither an Apache balancer nor a mod_jk worker file");
         }
-        List<Route> routes = found == Form.APACHE ? ApacheBalancer.read(text, zone, warnings)
-            : ModJkWorkers.read(text, zone, warnings);
+        List<Route> routes = found == Form.APACHE
+                ? ApacheBalancer.read(text, zone, warnings)
+                : ModJkWorkers.read(text, zone, warnings);
         if (routes.isEmpty()) {
             throw new ImportException("no worker to take over was found");
         }
--- a/src/main/java/beechseam/importer/ModJkWorkers.java
+++ b/src/main/java/beechseam/importer/ModJkWorkers.java
@@ -22,8 +22,7 @@
     }
 
     static boolean looksLike(String text) {
-        return text.lines()
-            .anyMatch(line -> line.matches("\\s*(worker\\.list|worker\\.\\S+\\.type)\\s*[=:].*"));
+        return text.lines().anyMatch(line -> line.matches("\\s*(worker\\.list|worker\\.\\S+\\.type)\\s*[=:].*"));
     }
 
     static List<Route> read(String text, String zone, List<String> warnings) throws ImportException {
@@ -34,8 +33,8 @@
         for (String name : file.words(file.keys.getOrDefault("worker.list", ""))) {
             String type = file.value(name, "type", "ajp13");
             if (type.equals("lb")) {
-                for (String member : file.words(file.value(name, "balance_workers",
-                    file.value(name, "balanced_workers", "")))) {
+                for (String member :
+                        file.words(file.value(name, "balance_workers", file.value(name, "balanced_workers", "")))) {
                     if (seen.add(member)) {
                         file.member(member, name, zone, routes);
                     }
@@ -98,8 +97,7 @@
         throw new ImportException("worker." + name + ".reference: goes in a circle");
     }
 
-    private void member(String name, String balancer, String zone, List<Route> routes)
-        throws ImportException {
+    private void member(String name, String balancer, String zone, List<Route> routes) throws ImportException {
         String key = "worker." + name;
         String activation = value(name, "activation", "active").toLowerCase(java.util.Locale.ROOT);
         char state = activation.isEmpty() ? 'a' : activation.charAt(0);
@@ -116,10 +114,15 @@
         }
         ApacheBalancer.number(port, 1, 65535, key + ".port");
         double factor = ApacheBalancer.number(value(name, "lbfactor", "1"), 0, 1000, key + ".lbfactor");
-        int distance = (int) ApacheBalancer.number(value(name, "distance", "0"), 0, 1_000_000,
-            key + ".distance");
+        int distance = (int) ApacheBalancer.number(value(name, "distance", "0"), 0, 1_000_000, key + ".distance");
         // A domain is a group of workers that share their sessions: the nearest thing to a zone.
-        routes.add(new Route(value(name, "route", value(name, "jvm_route", name)), host + ":" + port,
-            value(name, "domain", zone), balancer, distance, factor, state == 'd'));
+        routes.add(new Route(
+                value(name, "route", value(name, "jvm_route", name)),
+                host + ":" + port,
+                value(name, "domain", zone),
+                balancer,
+                distance,
+                factor,
+                state == 'd'));
     }
 }
--- a/src/main/java/beechseam/library/Balancer.java
+++ b/src/main/java/beechseam/library/Balancer.java
@@ -62,17 +62,29 @@
      * has less than two such looks left: with a host's long aims, each dispatch of a short deadline would be
      * refused at once.
      */
-    private static final JobClass PACE = new JobClass("", 160_000_000L, 160_000_000L, 0, 1e-9, 1,
-        beechseam.Dispatching.Effect.UNSAFE, beechseam.Dispatching.Group.CELL, 0, "");
+    private static final JobClass PACE = new JobClass(
+            "",
+            160_000_000L,
+            160_000_000L,
+            0,
+            1e-9,
+            1,
+            beechseam.Dispatching.Effect.UNSAFE,
+            beechseam.Dispatching.Group.CELL,
+            0,
+            "");
+
     private static final long CHECK_NS = 5_000_000L;
     /** A target older than this has started long ago, whatever its host says. */
     private static final long MAX_AGE_MS = Duration.ofDays(365).toMillis();
+
     private static final String CLOSED = "the balancer is closed";
 
     private final Sender<Q, R> sender;
     private final Executor executor;
     /** Delivers what the host's executor refuses; its thread lives only while there is such a thing. */
     private final ThreadPoolExecutor fallback;
+
     private final Map<String, Integer> types = new HashMap<>();
     private final List<JobType> jobTypes;
     private final EventLoop loop;
@@ -124,8 +136,9 @@
          * enough.
          */
         Load load() {
-            return target.slots() == 0 ? null
-                : new Load(out, 0, Math.max(0, target.slots() - out), Double.NaN, Double.NaN);
+            return target.slots() == 0
+                    ? null
+                    : new Load(out, 0, Math.max(0, target.slots() - out), Double.NaN, Double.NaN);
         }
     }
 
@@ -140,12 +153,18 @@
             classes.add(each.toClass());
         }
         classes.add(PACE);
-        Limits limits = new Limits(b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false,
-            b.copies, 0);
-        Rules rules = new Rules(0, Long.MAX_VALUE, b.coldShare, b.coldFor.toNanos(), b.coldLimit,
-            b.coldFor.isZero() ? 0 : b.coldSpan.toNanos(), false);
-        Settings settings = new Settings(classes, limits, rules, Reports.ANSWERS, false, 1, 0, b.zone, true,
-            0, b.crossZonePrice, 0, 0, false);
+        Limits limits =
+                new Limits(b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.copies, 0);
+        Rules rules = new Rules(
+                0,
+                Long.MAX_VALUE,
+                b.coldShare,
+                b.coldFor.toNanos(),
+                b.coldLimit,
+                b.coldFor.isZero() ? 0 : b.coldSpan.toNanos(),
+                false);
+        Settings settings = new Settings(
+                classes, limits, rules, Reports.ANSWERS, false, 1, 0, b.zone, true, 0, b.crossZonePrice, 0, 0, false);
         fallback = new ThreadPoolExecutor(1, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
             Thread t = new Thread(task, "beechseam-answers");
             t.setDaemon(true);
@@ -160,13 +179,15 @@
         engine = new Engine(settings, b.seed, loop::now, loop.timers, new ToSender(), counters);
         List<Target> first = List.copyOf(b.targets);
         loop.post(() -> list(first));
-        thread = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (IOException e) {
-                LOG.log(Level.ERROR, "the balancer's loop has failed", e);
-            }
-        }, "beechseam-balancer");
+        thread = new Thread(
+                () -> {
+                    try {
+                        loop.run();
+                    } catch (IOException e) {
+                        LOG.log(Level.ERROR, "the balancer's loop has failed", e);
+                    }
+                },
+                "beechseam-balancer");
         thread.setDaemon(true);
         thread.start();
     }
@@ -261,7 +282,7 @@
         public Builder<Q, R> cold(double share, Duration warmAfter, double limit, Duration span) {
             if (!(share > 0 && share <= 1) || warmAfter.isNegative() || !(limit >= 1) || span.isNegative()) {
                 throw new IllegalArgumentException("cold: a share above 0 and at most 1, times not negative"
-                    + " and a limit of at least 1 are needed");
+                        + " and a limit of at least 1 are needed");
             }
             coldShare = share;
             coldFor = warmAfter;
@@ -299,12 +320,11 @@
      * @param progress told the target and share done, on the executor; null for none
      * @throws IllegalArgumentException for a type that is not known, or a deadline that is not above 0
      */
-    public CompletableFuture<Outcome<R>> dispatch(String type, Q job, Duration deadline,
-                                                  BiConsumer<Target, Double> progress) {
+    public CompletableFuture<Outcome<R>> dispatch(
+            String type, Q job, Duration deadline, BiConsumer<Target, Double> progress) {
         Integer index = types.get(type);
         if (index == null) {
-            throw new IllegalArgumentException("no job type is called " + type + "; known are "
-                + types.keySet());
+            throw new IllegalArgumentException("no job type is called " + type + "; known are " + types.keySet());
         }
         Duration budget = deadline == null ? jobTypes.get(index).deadline() : deadline;
         if (budget.isNegative() || budget.isZero()) {
@@ -393,12 +413,14 @@
             });
             return;
         }
-        loop.timers.set(new Timer() {
-            @Override
-            protected void fire() {
-                drain(by);
-            }
-        }, loop.now() + CHECK_NS);
+        loop.timers.set(
+                new Timer() {
+                    @Override
+                    protected void fire() {
+                        drain(by);
+                    }
+                },
+                loop.now() + CHECK_NS);
     }
 
     private void list(List<Target> now) {
@@ -411,8 +433,8 @@
             byNumber.put(p.number, p);
             p.target = t;
             long startedAt = p.startedAt(t.started(), at, listedAt);
-            lines.add(new Worker(p.number, t.cell(), t.zone(), t.kind(), startedAt,
-                t.draining() ? State.DRAINING : State.READY));
+            lines.add(new Worker(
+                    p.number, t.cell(), t.zone(), t.kind(), startedAt, t.draining() ? State.DRAINING : State.READY));
         }
         engine.routes(ListForm.FULL, lines);
         listedAt = at;
@@ -467,13 +489,14 @@
                 return;
             }
             if (closing || budgetNs <= 0) {
-                deliver(closing ? new Outcome.Refused<>(Optional.empty(), CLOSED)
-                    : new Outcome.Refused<>(Optional.empty(), "its time was over before it was taken"));
+                deliver(
+                        closing
+                                ? new Outcome.Refused<>(Optional.empty(), CLOSED)
+                                : new Outcome.Refused<>(Optional.empty(), "its time was over before it was taken"));
                 return;
             }
             open.add(this);
-            request = engine.take(Long.toString(++lastName), new Job(0, type, budgetNs, 0, 1, 0, true), this,
-                this);
+            request = engine.take(Long.toString(++lastName), new Job(0, type, budgetNs, 0, 1, 0, true), this, this);
         }
 
         @Override
@@ -492,8 +515,7 @@
         /** The balancer closes: what may have run has failed. */
         void giveUp() {
             boolean begun = attempts > 0;
-            end(begun ? new Outcome.Failed<>(false, CLOSED) : new Outcome.Refused<>(Optional.empty(),
-                CLOSED));
+            end(begun ? new Outcome.Failed<>(false, CLOSED) : new Outcome.Refused<>(Optional.empty(), CLOSED));
             engine.left(request);
         }
 
@@ -517,8 +539,9 @@
 
         @Override
         public void shed(Request r, long pauseNs) {
-            end(new Outcome.Refused<>(pauseNs > 0 ? Optional.of(Duration.ofNanos(pauseNs)) : Optional.empty(),
-                "no target can do it in time"));
+            end(new Outcome.Refused<>(
+                    pauseNs > 0 ? Optional.of(Duration.ofNanos(pauseNs)) : Optional.empty(),
+                    "no target can do it in time"));
         }
 
         @Override
@@ -599,18 +622,22 @@
         }
 
         private void said(R value, Throwable wrong) {
-            Throwable cause = wrong instanceof CompletionException && wrong.getCause() != null
-                ? wrong.getCause()
-                : wrong;
+            Throwable cause =
+                    wrong instanceof CompletionException && wrong.getCause() != null ? wrong.getCause() : wrong;
             loop.post(() -> {
                 if (cause == null && of.servedBy == null && !attempt.over()) {
                     of.value = value;
                     of.servedBy = target.id();
                 }
-                end(cause == null ? beechseam.Dispatching.Outcome.SERVED
-                    : !(cause instanceof NeverRanException never) ? beechseam.Dispatching.Outcome.ERROR
-                    : never.reason() == NeverRanException.Reason.FULL ? beechseam.Dispatching.Outcome.REFUSED
-                    : beechseam.Dispatching.Outcome.UNREACHABLE, cause);
+                end(
+                        cause == null
+                                ? beechseam.Dispatching.Outcome.SERVED
+                                : !(cause instanceof NeverRanException never)
+                                        ? beechseam.Dispatching.Outcome.ERROR
+                                        : never.reason() == NeverRanException.Reason.FULL
+                                                ? beechseam.Dispatching.Outcome.REFUSED
+                                                : beechseam.Dispatching.Outcome.UNREACHABLE,
+                        cause);
             });
         }
 
--- a/src/main/java/beechseam/library/JobType.java
+++ b/src/main/java/beechseam/library/JobType.java
@@ -19,8 +19,17 @@
  * @param window   for keyed ones: how long they do
  * @param kind     the only kind of target that does it, or null for any
  */
-public record JobType(String name, Duration aim, double stretch, Duration deadline, double worth,
-                      double lateWorth, Repeats repeats, Group group, Duration window, String kind) {
+public record JobType(
+        String name,
+        Duration aim,
+        double stretch,
+        Duration deadline,
+        double worth,
+        double lateWorth,
+        Repeats repeats,
+        Group group,
+        Duration window,
+        String kind) {
     /** What a repeat of a job does. */
     public enum Repeats {
         /** Nothing. */
@@ -32,7 +41,11 @@
     }
 
     /** Which targets drop a repeat of a keyed job. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     public JobType {
         Objects.requireNonNull(name, "name");
@@ -43,21 +56,24 @@
         check(name, "stretch", stretch >= 0, "must not be negative", stretch);
         check(name, "worth", worth > 0, "must be above 0", worth);
         check(name, "lateWorth", lateWorth >= 0 && lateWorth <= 1, "must be from 0 to 1", lateWorth);
-        check(name, "window", repeats != Repeats.KEYED || !window.isZero() && !window.isNegative(),
-            "must be above 0 for a keyed type", window);
+        check(
+                name,
+                "window",
+                repeats != Repeats.KEYED || !window.isZero() && !window.isNegative(),
+                "must be above 0 for a keyed type",
+                window);
     }
 
     private static void check(String name, String key, boolean good, String rule, Object value) {
         if (!good) {
-            throw new IllegalArgumentException("job type " + name + ": " + key + " " + rule + ", not "
-                + value);
+            throw new IllegalArgumentException("job type " + name + ": " + key + " " + rule + ", not " + value);
         }
     }
 
     /** One that is not to be repeated, of worth 1, wanted within a quarter of its deadline. */
     public static JobType of(String name, Duration deadline) {
-        return new JobType(name, deadline.dividedBy(4), 1, deadline, 1, 0.9, Repeats.UNSAFE, Group.CELL,
-            Duration.ZERO, null);
+        return new JobType(
+                name, deadline.dividedBy(4), 1, deadline, 1, 0.9, Repeats.UNSAFE, Group.CELL, Duration.ZERO, null);
     }
 
     /** Doing it twice does nothing. */
@@ -67,14 +83,12 @@
 
     /** Targets of the group drop a repeat for that long. */
     public JobType keyed(Group where, Duration howLong) {
-        return new JobType(name, aim, stretch, deadline, worth, lateWorth, Repeats.KEYED, where, howLong,
-            kind);
+        return new JobType(name, aim, stretch, deadline, worth, lateWorth, Repeats.KEYED, where, howLong, kind);
     }
 
     /** Wanted within the aim plus stretch times its run. */
     public JobType wantedWithin(Duration theAim, double theStretch) {
-        return new JobType(name, theAim, theStretch, deadline, worth, lateWorth, repeats, group, window,
-            kind);
+        return new JobType(name, theAim, theStretch, deadline, worth, lateWorth, repeats, group, window, kind);
     }
 
     /** Worth so much in time, and that share of it when late. */
@@ -88,8 +102,16 @@
     }
 
     JobClass toClass() {
-        return new JobClass(name, aim.toNanos(), deadline.toNanos(), stretch, worth, lateWorth,
-            Effect.valueOf(repeats.name()), beechseam.Dispatching.Group.valueOf(group.name()),
-            window.toNanos(), kind);
+        return new JobClass(
+                name,
+                aim.toNanos(),
+                deadline.toNanos(),
+                stretch,
+                worth,
+                lateWorth,
+                Effect.valueOf(repeats.name()),
+                beechseam.Dispatching.Group.valueOf(group.name()),
+                window.toNanos(),
+                kind);
     }
 }
--- a/src/main/java/beechseam/library/Outcome.java
+++ b/src/main/java/beechseam/library/Outcome.java
@@ -12,8 +12,7 @@
     /**
      * A target has done it; {@code target} is its id, {@code attempts} counts all that were begun, from 1.
      */
-    record Served<R>(R value, String target, int attempts) implements Outcome<R> {
-    }
+    record Served<R>(R value, String target, int attempts) implements Outcome<R> {}
 
     /**
      * Not done, and trying again is harmless.
@@ -21,8 +20,7 @@
      * @param retryAfter when to come back; empty without advice
      * @param why        in words
      */
-    record Refused<R>(Optional<Duration> retryAfter, String why) implements Outcome<R> {
-    }
+    record Refused<R>(Optional<Duration> retryAfter, String why) implements Outcome<R> {}
 
     /**
      * Not done, or done and nobody knows.
@@ -30,8 +28,7 @@
      * @param late whether its time ran out
      * @param why  in words
      */
-    record Failed<R>(boolean late, String why) implements Outcome<R> {
-    }
+    record Failed<R>(boolean late, String why) implements Outcome<R> {}
 
     default boolean served() {
         return this instanceof Served;
--- a/src/main/java/beechseam/library/Target.java
+++ b/src/main/java/beechseam/library/Target.java
@@ -14,8 +14,7 @@
  * @param started  when its process started, or null for long ago: one that has just started is given less
  * @param draining whether it gets nothing new
  */
-public record Target(String id, String zone, int cell, String kind, int slots, Instant started,
-                     boolean draining) {
+public record Target(String id, String zone, int cell, String kind, int slots, Instant started, boolean draining) {
     static final String ANYWHERE = "-";
 
     public Target {
--- a/src/main/java/beechseam/load/Client.java
+++ b/src/main/java/beechseam/load/Client.java
@@ -21,6 +21,7 @@
     private final Histogram times;
     /** When the jobs were submitted that have no handle yet, and those that have one. */
     private final ArrayDeque<Long> unnamed = new ArrayDeque<>();
+
     private final Map<String, Long> named = new HashMap<>();
     private long toSubmit;
     long created;
@@ -29,8 +30,15 @@
     boolean recording;
 
     /** @param toSubmit jobs in all; submissions stop then */
-    Client(EventLoop loop, InetSocketAddress to, Packet kind, String function, int bytes, long toSubmit,
-           Histogram times) throws IOException {
+    Client(
+            EventLoop loop,
+            InetSocketAddress to,
+            Packet kind,
+            String function,
+            int bytes,
+            long toSubmit,
+            Histogram times)
+            throws IOException {
         super(loop, to);
         this.kind = kind;
         this.function = function;
@@ -77,7 +85,7 @@
                 unnamed.poll();
                 submit(1);
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/beechseam/load/FaultRun.java
+++ b/src/main/java/beechseam/load/FaultRun.java
@@ -22,20 +22,22 @@
  */
 final class FaultRun implements AutoCloseable {
     static final String FUNCTIONS =
-        "[{\"name\":\"safe\",\"effect\":\"safe\"},{\"name\":\"once\",\"effect\":\"unsafe\"},"
-        + "{\"name\":\"keyed\",\"effect\":\"keyed\",\"group\":\"all\",\"window_ms\":60000},"
-        + "{\"name\":\"short\",\"effect\":\"unsafe\",\"deadline_ms\":400}]";
+            "[{\"name\":\"safe\",\"effect\":\"safe\"},{\"name\":\"once\",\"effect\":\"unsafe\"},"
+                    + "{\"name\":\"keyed\",\"effect\":\"keyed\",\"group\":\"all\",\"window_ms\":60000},"
+                    + "{\"name\":\"short\",\"effect\":\"unsafe\",\"deadline_ms\":400}]";
     private static final String[] NAMES = {"safe", "once", "keyed", "short"};
     private static final int CLIENTS = 20;
     private static final int WORKERS = 30;
     private static final long PATIENCE_NS = 60_000_000_000L;
     /** What the crowds of the hard cases come to in a full run; a shorter run has its share of them. */
     private static final int FULL_RUN = 20_000;
+
     private static final int QUEUED_AT_THE_LOSS = 5_000;
     private static final int SILENT = 2_000;
     private static final int DUE_TO_THE_DEAF = 10_000;
     /** After an operator's drain nothing new may come later than this. */
     private static final long DRAIN_GRACE_NS = 300_000_000L;
+
     private static final byte[] EMPTY = {};
 
     private final ServerProcess server;
@@ -80,8 +82,7 @@
             switch (pick) {
                 case 8 -> say(Packet.SUBMIT_JOB_BG, function, key, load);
                 case 9 -> say(Packet.SUBMIT_JOB_HIGH_BG, function, key, load);
-                case 10 -> say(Packet.SUBMIT_JOB_EPOCH, function, key, System.currentTimeMillis() / 1000 + 1,
-                    load);
+                case 10 -> say(Packet.SUBMIT_JOB_EPOCH, function, key, System.currentTimeMillis() / 1000 + 1, load);
                 case 11 -> say(Packet.SUBMIT_REDUCE_JOB_BACKGROUND, function, key, "r", load);
                 case 0 -> say(Packet.SUBMIT_JOB_HIGH, function, key, load);
                 case 1 -> say(Packet.SUBMIT_JOB_LOW, function, key, load);
@@ -108,7 +109,7 @@
                     waits.remove(0);
                     wrong.add(error(args));
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -150,7 +151,7 @@
                     }
                 }
                 case JOB_ASSIGN -> run(args.text(0), args.text(1));
-                default -> { }
+                default -> {}
             }
         }
 
@@ -197,14 +198,16 @@
         }
 
         private void after(long ms, Runnable action) {
-            loop.timers.set(new Timer() {
-                @Override
-                protected void fire() {
-                    if (!closed()) {
-                        action.run();
-                    }
-                }
-            }, loop.now() + ms * 1_000_000L);
+            loop.timers.set(
+                    new Timer() {
+                        @Override
+                        protected void fire() {
+                            if (!closed()) {
+                                action.run();
+                            }
+                        }
+                    },
+                    loop.now() + ms * 1_000_000L);
         }
 
         void drop() {
@@ -225,7 +228,7 @@
     }
 
     private void until(String what, BooleanSupplier holds) throws IOException {
-        for (long end = System.nanoTime() + PATIENCE_NS; !holds.getAsBoolean();) {
+        for (long end = System.nanoTime() + PATIENCE_NS; !holds.getAsBoolean(); ) {
             if (System.nanoTime() > end) {
                 wrong.add("in vain: " + what);
                 return;
@@ -269,11 +272,13 @@
         until("what clients are owed", () -> clients.stream().allMatch(c -> c.owed.isEmpty()));
         Map<String, Object> accounts = new LinkedHashMap<>();
         accounts.put("submitted", submitted);
-        for (String each : new String[] {"accepted", "served", "shed", "failed", "left", "cancelled",
-            "lost"}) {
+        for (String each : new String[] {"accepted", "served", "shed", "failed", "left", "cancelled", "lost"}) {
             accounts.put(each, server.figure(each));
         }
-        long ended = accounts.entrySet().stream().skip(2).mapToLong(e -> (Long) e.getValue()).sum();
+        long ended = accounts.entrySet().stream()
+                .skip(2)
+                .mapToLong(e -> (Long) e.getValue())
+                .sum();
         accounts.put("ended", ended);
         accounts.put("ran_again", twice.size());
         accounts.put("workers_lost", dropped);
--- a/src/main/java/beechseam/load/GearmanLoad.java
+++ b/src/main/java/beechseam/load/GearmanLoad.java
@@ -17,15 +17,21 @@
 /** Load on a job server, in scenarios, each with a server process of its own. */
 public final class GearmanLoad {
     /** One line of results: what was played, and figures by name. */
-    public record Row(String scenario, Map<String, Object> figures) {
-    }
+    public record Row(String scenario, Map<String, Object> figures) {}
 
     /** What can be played. */
-    public enum Scenario { WORKERS, FAIR, QUEUED, MEMORY, STOP, IDLE, FAULTS }
+    public enum Scenario {
+        WORKERS,
+        FAIR,
+        QUEUED,
+        MEMORY,
+        STOP,
+        IDLE,
+        FAULTS
+    }
 
     private static final long LONGEST_NS = 120_000_000_000L;
-    private static final String ANY =
-        "[{\"name\":\"*\",\"effect\":\"safe\",\"deadline_ms\":3600000,\"aim_ms\":1000}]";
+    private static final String ANY = "[{\"name\":\"*\",\"effect\":\"safe\",\"deadline_ms\":3600000,\"aim_ms\":1000}]";
     private static final int LOOPS = 3;
     private static final long SEED = 4730;
     private static final long WARM_MS = 4000;
@@ -55,13 +61,15 @@
 
         Lane(String name) throws IOException {
             loop = new EventLoop();
-            thread = new Thread(() -> {
-                try {
-                    loop.run();
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            }, name);
+            thread = new Thread(
+                    () -> {
+                        try {
+                            loop.run();
+                        } catch (IOException e) {
+                            throw new IllegalStateException(e);
+                        }
+                    },
+                    name);
             thread.setDaemon(true);
             thread.start();
         }
@@ -100,11 +108,10 @@
 
         /** Clients have a loop to themselves, so that times are told by one clock and one histogram. */
         void clients(int count, Packet kind, String function, int bytes, long toSubmit)
-            throws IOException, InterruptedException {
+                throws IOException, InterruptedException {
             lanes.get(0).call(() -> {
                 for (int i = 0; i < count; i++) {
-                    Client c = new Client(lanes.get(0).loop, server.address, kind, function, bytes, toSubmit,
-                        times);
+                    Client c = new Client(lanes.get(0).loop, server.address, kind, function, bytes, toSubmit, times);
                     clients.add(c);
                     all.add(c);
                 }
@@ -249,15 +256,17 @@
     }
 
     private void fair() throws IOException, InterruptedException {
-        try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+        try (ServerProcess server = new ServerProcess(jvm, ANY);
+                Crowd crowd = new Crowd(server)) {
             warm(server);
             crowd.workers(64, 0, "f");
             crowd.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
             crowd.submit(64);
             Map<String, Object> figures = crowd.measure();
             crowd.check();
-            figures.put("p99_to_median", Math.round((double) figures.get("p99_ms")
-                / (double) figures.get("median_ms") * 100) / 100.0);
+            figures.put(
+                    "p99_to_median",
+                    Math.round((double) figures.get("p99_ms") / (double) figures.get("median_ms") * 100) / 100.0);
             add("64 clients x 64, 64 workers", figures);
         }
     }
@@ -283,8 +292,7 @@
     /**
      * Fills the queue with background jobs that nobody can do yet, or that few workers do beside the rest.
      */
-    private static void fill(Crowd crowd, int queued, String function) throws IOException,
-        InterruptedException {
+    private static void fill(Crowd crowd, int queued, String function) throws IOException, InterruptedException {
         int clients = 8;
         crowd.clients(clients, Packet.SUBMIT_JOB_BG, function, 32, queued / clients);
         List<Client> filling = List.copyOf(crowd.clients);
@@ -306,7 +314,8 @@
 
     private void queued(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
-            try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+            try (ServerProcess server = new ServerProcess(jvm, ANY);
+                    Crowd crowd = new Crowd(server)) {
                 warm(server);
                 fill(crowd, queued, "f");
                 crowd.workers(8, 0, "f");
@@ -318,7 +327,8 @@
                 add(queued + " queued, 8 clients x 1 beside", figures);
             }
             if (queued <= SOON_EMPTY) { // taken down before it can be measured: clients keep as many waiting
-                try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+                try (ServerProcess server = new ServerProcess(jvm, ANY);
+                        Crowd crowd = new Crowd(server)) {
                     warm(server);
                     crowd.workers(8, 0, "f");
                     crowd.clients(8, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
@@ -329,7 +339,8 @@
                 }
                 continue;
             }
-            try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+            try (ServerProcess server = new ServerProcess(jvm, ANY);
+                    Crowd crowd = new Crowd(server)) {
                 warm(server);
                 fill(crowd, queued, "f");
                 long before = server.figure("served");
@@ -353,7 +364,8 @@
 
     private void memory(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
-            try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+            try (ServerProcess server = new ServerProcess(jvm, ANY);
+                    Crowd crowd = new Crowd(server)) {
                 fill(crowd, 8, "f"); // classes are loaded, tables made
                 long before = server.heap();
                 fill(crowd, queued, "g");
@@ -366,7 +378,7 @@
     private void faults(List<Integer> sizes) throws IOException, InterruptedException {
         for (int steps : sizes) {
             try (ServerProcess server = new ServerProcess(jvm, FaultRun.FUNCTIONS);
-                 FaultRun run = new FaultRun(server, SEED)) {
+                    FaultRun run = new FaultRun(server, SEED)) {
                 add(steps + " steps of faults, seed " + SEED, run.play(steps));
             }
         }
@@ -374,7 +386,8 @@
 
     private void stop(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
-            try (ServerProcess server = new ServerProcess(jvm, ANY); Crowd crowd = new Crowd(server)) {
+            try (ServerProcess server = new ServerProcess(jvm, ANY);
+                    Crowd crowd = new Crowd(server)) {
                 fill(crowd, queued, "f");
                 add("SIGTERM with " + queued + " queued", Map.of("ms_to_end", server.stop() / 1_000_000));
             }
--- a/src/main/java/beechseam/load/LibraryLoad.java
+++ b/src/main/java/beechseam/load/LibraryLoad.java
@@ -44,8 +44,7 @@
      * @return figures by name; "wrong" counts dispatches with no outcome or with another's value, unsafe jobs
      *     that ran twice, and what the balancer's own counters have otherwise
      */
-    public Map<String, Object> accounts(int dispatches, int threads, int workers,
-        long seed) throws Exception {
+    public Map<String, Object> accounts(int dispatches, int threads, int workers, long seed) throws Exception {
         AtomicIntegerArray runs = new AtomicIntegerArray(dispatches);
         LongAdder served = new LongAdder();
         LongAdder refused = new LongAdder();
@@ -64,35 +63,40 @@
         long start = System.nanoTime();
         Map<String, Object> figures = new LinkedHashMap<>();
         try (Balancer<Integer, Integer> balancer = Balancer.builder(sender)
-            .type(JobType.of("safe", DEADLINE).safe()).type(JobType.of("once",
-                DEADLINE)).targets(targets).seed(seed)
-            .build()) {
+                .type(JobType.of("safe", DEADLINE).safe())
+                .type(JobType.of("once", DEADLINE))
+                .targets(targets)
+                .seed(seed)
+                .build()) {
             List<Thread> all = new ArrayList<>();
             for (int t = 0; t < threads; t++) {
                 int first = t;
-                Thread thread = new Thread(() -> {
-                    Semaphore room = new Semaphore(OUTSTANDING / threads);
-                    for (int i = first; i < dispatches; i += threads) {
-                        int job = i;
-                        room.acquireUninterruptibly();
-                        balancer.dispatch(job % 2 == 0 ? "safe" : "once", job).whenComplete((o, e) -> {
-                            if (o instanceof Outcome.Served<Integer> s && s.value() == job) {
-                                served.increment();
-                            } else if (o instanceof Outcome.Refused) {
-                                refused.increment();
-                            } else if (o instanceof Outcome.Failed) {
-                                failed.increment();
-                            } else {
-                                wrong.increment();
+                Thread thread = new Thread(
+                        () -> {
+                            Semaphore room = new Semaphore(OUTSTANDING / threads);
+                            for (int i = first; i < dispatches; i += threads) {
+                                int job = i;
+                                room.acquireUninterruptibly();
+                                balancer.dispatch(job % 2 == 0 ? "safe" : "once", job)
+                                        .whenComplete((o, e) -> {
+                                            if (o instanceof Outcome.Served<Integer> s && s.value() == job) {
+                                                served.increment();
+                                            } else if (o instanceof Outcome.Refused) {
+                                                refused.increment();
+                                            } else if (o instanceof Outcome.Failed) {
+                                                failed.increment();
+                                            } else {
+                                                wrong.increment();
+                                            }
+                                            room.release();
+                                        });
+                                if (job > 0 && job % 200_000 == 0) {
+                                    progress.accept(job + " dispatched");
+                                }
                             }
-                            room.release();
-                        });
-                        if (job > 0 && job % 200_000 == 0) {
-                            progress.accept(job + " dispatched");
-                        }
-                    }
-                    room.acquireUninterruptibly(OUTSTANDING / threads);
-                }, "load-" + t);
+                            room.acquireUninterruptibly(OUTSTANDING / threads);
+                        },
+                        "load-" + t);
                 thread.start();
                 all.add(thread);
             }
@@ -107,9 +111,8 @@
             }
             long ended = served.sum() + refused.sum() + failed.sum();
             boolean agree = ServerProcess.figure(counters, "taken") == dispatches
-                && ServerProcess.figure(counters,
-                "served") == served.sum()
-                && ServerProcess.figure(counters, "faults") == 0;
+                    && ServerProcess.figure(counters, "served") == served.sum()
+                    && ServerProcess.figure(counters, "faults") == 0;
             figures.put("dispatches", dispatches);
             figures.put("served", served.sum());
             figures.put("refused", refused.sum());
@@ -126,8 +129,9 @@
     /**
      * A stand-in worker; what it does with a job is drawn from the job's number, so each run draws the same.
      */
-    private static CompletionStage<Integer> work(Sender.Attempt<Integer> attempt, AtomicIntegerArray runs,
-                                                 ScheduledExecutorService clock, long seed) throws Exception {
+    private static CompletionStage<Integer> work(
+            Sender.Attempt<Integer> attempt, AtomicIntegerArray runs, ScheduledExecutorService clock, long seed)
+            throws Exception {
         int job = attempt.job();
         SplittableRandom random = new SplittableRandom(seed ^ job * 0x9E3779B97F4A7C15L + attempt.number());
         int pick = random.nextInt(10_000);
@@ -155,8 +159,10 @@
     public Map<String, Object> overhead(int dispatches) throws Exception {
         Histogram times = new ConcurrentHistogram(10_000_000_000L, 3);
         try (Balancer<Integer, Integer> balancer = Balancer.<Integer, Integer>builder(
-            a -> CompletableFuture.completedFuture(a.job())).type(JobType.of("once", DEADLINE))
-            .targets(List.of(Target.of("a"), Target.of("b"))).build()) {
+                        a -> CompletableFuture.completedFuture(a.job()))
+                .type(JobType.of("once", DEADLINE))
+                .targets(List.of(Target.of("a"), Target.of("b")))
+                .build()) {
             for (int i = 0; i < dispatches * 2; i++) {
                 long start = System.nanoTime();
                 balancer.dispatch("once", i).get();
--- a/src/main/java/beechseam/load/ListIntake.java
+++ b/src/main/java/beechseam/load/ListIntake.java
@@ -26,7 +26,7 @@
 public final class ListIntake {
     private static final int WARM_UP_LISTS = 30;
     private static final String SETTINGS = "{\"Classes\":[{\"Name\":\"c\",\"AimNs\":100000000,"
-        + "\"DeadlineNs\":1000000000,\"Effect\":\"read_like\"}]}";
+            + "\"DeadlineNs\":1000000000,\"Effect\":\"read_like\"}]}";
 
     /**
      * The figures of one size.
@@ -45,13 +45,12 @@
         /** One row of a table. */
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%7d %9d %10.0f %10.0f %10.2f", servers, bytes, readUs, takeUs,
-                usPerServer());
+            return String.format(
+                    Locale.ROOT, "%7d %9d %10.0f %10.0f %10.2f", servers, bytes, readUs, takeUs, usPerServer());
         }
     }
 
-    private ListIntake() {
-    }
+    private ListIntake() {}
 
     /** Takes in {@code lists} whole lists of so many servers, after some that are not counted. */
     public static Figures measure(int servers, int lists) throws IOException {
@@ -61,7 +60,7 @@
         Histogram taking = new Histogram(3);
         for (int i = -WARM_UP_LISTS; i < lists; i++) {
             long start = System.nanoTime();
-            MemberList list = MemberList.of((Map<?, ?>) Json.parse(text, 0, text.length), why -> { });
+            MemberList list = MemberList.of((Map<?, ?>) Json.parse(text, 0, text.length), why -> {});
             long read = System.nanoTime();
             engine.routes(ListForm.FULL, workers(list));
             long taken = System.nanoTime();
@@ -80,17 +79,23 @@
     private static Engine engine() throws IOException {
         byte[] settings = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ModuleOptions options = ModuleOptions.of((Map<?, ?>) Json.parse(settings, 0, settings.length));
-        return new Engine(options.settings, 1, System::nanoTime, new TimerQueue(), new NoEgress(),
-            new Counters());
+        return new Engine(options.settings, 1, System::nanoTime, new TimerQueue(), new NoEgress(), new Counters());
     }
 
     private static byte[] list(int servers) {
         StringBuilder text = new StringBuilder("{\"version\":1,\"full\":true,\"servers\":[");
         for (int i = 0; i < servers; i++) {
-            text.append(i == 0 ? "" : ",").append(String.format(Locale.ROOT,
-                "{\"id\":\"s-%08x\",\"addr\":\"127.0.%d.%d:8081\",\"zone\":\"z%d\",\"kind\":\"k%d\","
-                    + "\"cell\":%d,\"state\":\"SERVING\",\"weight\":1.0,\"started_ms\":0}",
-                i + 1, i / 250, i % 250 + 1, i % 7, i % 3, i % 40));
+            text.append(i == 0 ? "" : ",")
+                    .append(String.format(
+                            Locale.ROOT,
+                            "{\"id\":\"s-%08x\",\"addr\":\"127.0.%d.%d:8081\",\"zone\":\"z%d\",\"kind\":\"k%d\","
+                                    + "\"cell\":%d,\"state\":\"SERVING\",\"weight\":1.0,\"started_ms\":0}",
+                            i + 1,
+                            i / 250,
+                            i % 250 + 1,
+                            i % 7,
+                            i % 3,
+                            i % 40));
         }
         return text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/beechseam/load/ServerProcess.java
+++ b/src/main/java/beechseam/load/ServerProcess.java
@@ -31,16 +31,26 @@
         }
         address = new InetSocketAddress("127.0.0.1", port);
         file = Files.createTempFile("beechseam-load", ".json");
-        Files.writeString(file, "{\"listen\":\"127.0.0.1:" + port + "\",\"max_jobs\":3000000,\"functions\":"
-            + functions + "}");
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        Files.writeString(
+                file, "{\"listen\":\"127.0.0.1:" + port + "\",\"max_jobs\":3000000,\"functions\":" + functions + "}");
+        List<String> command = new ArrayList<>(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(jvm);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "beechseam.cli.Main", "serve",
-            "--gearman", file.toString(), "--log-level", "warning"));
+        command.addAll(List.of(
+                "-cp",
+                System.getProperty("java.class.path"),
+                "beechseam.cli.Main",
+                "serve",
+                "--gearman",
+                file.toString(),
+                "--log-level",
+                "warning"));
         said = Files.createTempFile("beechseam-load", ".log");
-        process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
-        for (long end = System.nanoTime() + UP_NS; !up();) {
+        process = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(said.toFile())
+                .start();
+        for (long end = System.nanoTime() + UP_NS; !up(); ) {
             if (System.nanoTime() > end || !process.isAlive()) {
                 throw new IOException("the server under load did not come up");
             }
@@ -69,7 +79,9 @@
             s.setSoTimeout(60_000);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             StringBuilder answer = new StringBuilder();
-            for (int c = s.getInputStream().read(); c >= 0 && c != '\n'; c = s.getInputStream().read()) {
+            for (int c = s.getInputStream().read();
+                    c >= 0 && c != '\n';
+                    c = s.getInputStream().read()) {
                 answer.append((char) c);
             }
             return answer.toString();
@@ -95,14 +107,16 @@
     long heap() throws IOException, InterruptedException {
         String tool = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
         String pid = Long.toString(process.pid());
-        new ProcessBuilder(tool, pid,
-            "GC.run").redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
+        new ProcessBuilder(tool, pid, "GC.run")
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
         Process p = new ProcessBuilder(tool, pid, "GC.heap_info").start();
         String text = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         p.waitFor();
         long sum = 0;
         Matcher m = Pattern.compile("(?:garbage-first heap|generation|PSYoungGen|ParOldGen).*?used (\\d+)K")
-            .matcher(text);
+                .matcher(text);
         while (m.find()) {
             sum += Long.parseLong(m.group(1)) * 1024;
         }
--- a/src/main/java/beechseam/load/Worker.java
+++ b/src/main/java/beechseam/load/Worker.java
@@ -34,16 +34,18 @@
                 if (runNs == 0) {
                     complete(handle);
                 } else {
-                    loop.timers.set(new Timer() {
-                        @Override
-                        protected void fire() {
-                            complete(handle);
-                        }
-                    }, loop.now() + runNs);
+                    loop.timers.set(
+                            new Timer() {
+                                @Override
+                                protected void fire() {
+                                    complete(handle);
+                                }
+                            },
+                            loop.now() + runNs);
                 }
             }
             case ERROR -> fault = error(args);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/beechseam/net/Connection.java
+++ b/src/main/java/beechseam/net/Connection.java
@@ -62,8 +62,7 @@
     // ---- Callbacks
 
     /** The connection asked for has come up. */
-    protected void connected() {
-    }
+    protected void connected() {}
 
     /** New bytes: uses up what it can from the position on. The slice is void after the call. */
     protected abstract void received(ByteBuffer bytes);
@@ -234,12 +233,10 @@
     }
 
     /** All that waited has been written. */
-    protected void written() {
-    }
+    protected void written() {}
 
     /** Closed, for whatever reason: the owner counts it out. */
-    protected void released() {
-    }
+    protected void released() {}
 
     public final boolean closed() {
         return closed;
@@ -257,7 +254,8 @@
     public final String peer() {
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress a
-                ? a.getAddress().getHostAddress() : "?";
+                    ? a.getAddress().getHostAddress()
+                    : "?";
         } catch (IOException e) {
             return "?";
         }
@@ -423,7 +421,7 @@
         if (key != null && key.isValid()) {
             // A full buffer that nobody uses up stops the reading, not the heap.
             key.interestOps((full || readPaused && !ending ? 0 : SelectionKey.OP_READ)
-                | (waitingBytes > 0 ? SelectionKey.OP_WRITE : 0));
+                    | (waitingBytes > 0 ? SelectionKey.OP_WRITE : 0));
         }
     }
 
--- a/src/main/java/beechseam/net/EventLoop.java
+++ b/src/main/java/beechseam/net/EventLoop.java
@@ -70,14 +70,16 @@
      * exception that it threw, to the loop's thread: the loop must not stand still for it.
      */
     public <T> void callAside(Callable<T> call, Consumer<T> done, Consumer<Exception> failed) {
-        Thread aside = new Thread(() -> {
-            try {
-                T result = call.call();
-                post(() -> done.accept(result));
-            } catch (Exception e) {
-                post(() -> failed.accept(e));
-            }
-        }, "aside");
+        Thread aside = new Thread(
+                () -> {
+                    try {
+                        T result = call.call();
+                        post(() -> done.accept(result));
+                    } catch (Exception e) {
+                        post(() -> failed.accept(e));
+                    }
+                },
+                "aside");
         aside.setDaemon(true);
         aside.start();
     }
--- a/src/main/java/beechseam/net/Listener.java
+++ b/src/main/java/beechseam/net/Listener.java
@@ -34,12 +34,17 @@
 
     /** The pauses after accepts that fail; the longest is short beside any client's patience. */
     private static final long FIRST_PAUSE_NS = 10_000_000L;
+
     private static final long LONGEST_PAUSE_NS = 160_000_000L;
     /** So long a closing listener goes on trying to take those that wait. */
     private static final long LAST_TRIES_NS = 2_000_000_000L;
 
     /** What came of an attempt to accept a connection. */
-    private enum Accepted { ONE, NONE, FAILED }
+    private enum Accepted {
+        ONE,
+        NONE,
+        FAILED
+    }
 
     private final EventLoop loop;
     private final ServerSocketChannel channel;
@@ -167,20 +172,22 @@
     public void closeWhenEmpty() {
         key.cancel();
         long lastTryAt = loop.now() + LAST_TRIES_NS;
-        loop.timers.set(new Timer() {
-            @Override
-            protected void fire() {
-                Accepted last = Accepted.ONE;
-                while (last == Accepted.ONE) {
-                    last = acceptOne();
-                }
-                if (last == Accepted.FAILED && loop.now() < lastTryAt) {
-                    loop.timers.set(this, loop.now() + pauseNs);
-                } else {
-                    close();
-                }
-            }
-        }, loop.now() + OFF_NS);
+        loop.timers.set(
+                new Timer() {
+                    @Override
+                    protected void fire() {
+                        Accepted last = Accepted.ONE;
+                        while (last == Accepted.ONE) {
+                            last = acceptOne();
+                        }
+                        if (last == Accepted.FAILED && loop.now() < lastTryAt) {
+                            loop.timers.set(this, loop.now() + pauseNs);
+                        } else {
+                            close();
+                        }
+                    }
+                },
+                loop.now() + OFF_NS);
     }
 
     public void close() {
--- a/src/main/java/beechseam/ops/AdminEndpoint.java
+++ b/src/main/java/beechseam/ops/AdminEndpoint.java
@@ -16,12 +16,12 @@
 
 /** The door for operators: a connection brings one line, gets one answer and is closed. */
 public final class AdminEndpoint {
-    private static final List<String> CALLS = List.of("status", "stats", "maint-on", "maint-off", "standby",
-        "active");
+    private static final List<String> CALLS = List.of("status", "stats", "maint-on", "maint-off", "standby", "active");
     private static final int MOST_CALLERS = 16;
     private static final int MOST_LINE = 512;
     /** A call comes whole in this time, and so long its answer may wait to be taken. */
     private static final long CALL_NS = 10_000_000_000L;
+
     private static final long END_NS = 1_000_000_000L;
 
     private final EventLoop loop;
--- a/src/main/java/beechseam/ops/HandoverLink.java
+++ b/src/main/java/beechseam/ops/HandoverLink.java
@@ -44,7 +44,14 @@
         void linked();
     }
 
-    private enum Kind { LEARNED, WELCOME, READY, SEEN, CALL, EVENT }
+    private enum Kind {
+        LEARNED,
+        WELCOME,
+        READY,
+        SEEN,
+        CALL,
+        EVENT
+    }
 
     private static final Logger LOG = System.getLogger(HandoverLink.class.getName());
     private static final int MOST_FRAME = 128 * 1024;
@@ -66,8 +73,7 @@
         String name = prefix + Integer.toHexString(ThreadLocalRandom.current().nextInt(1 << 24, 1 << 28));
         try {
             own = directory.resolve(name + ".sock");
-            listener = new Listener(loop, UnixDomainSocketAddress.of(own),
-                channel -> new Line(channel, false));
+            listener = new Listener(loop, UnixDomainSocketAddress.of(own), channel -> new Line(channel, false));
             try (DirectoryStream<Path> others = Files.newDirectoryStream(directory, prefix + "*.sock")) {
                 for (Path each : others) {
                     if (!each.equals(own)) {
@@ -178,8 +184,11 @@
         }
 
         void send(Kind kind, byte[] text, int from, int length) {
-            write(ByteBuffer.allocate(HEAD + length).put((byte) kind.ordinal()).putInt(length)
-                .put(text, from, length).flip());
+            write(ByteBuffer.allocate(HEAD + length)
+                    .put((byte) kind.ordinal())
+                    .putInt(length)
+                    .put(text, from, length)
+                    .flip());
         }
 
         @Override
--- a/src/main/java/beechseam/ops/MaintenanceFile.java
+++ b/src/main/java/beechseam/ops/MaintenanceFile.java
@@ -58,7 +58,7 @@
         try {
             aside = Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
             try (OutputStream out = Files.newOutputStream(aside);
-                 JsonGenerator json = Json.FACTORY.createGenerator(out)) {
+                    JsonGenerator json = Json.FACTORY.createGenerator(out)) {
                 json.writeStartObject();
                 for (Map.Entry<String, Long> each : all.entrySet()) {
                     json.writeNumberField(each.getKey(), each.getValue());
--- a/src/main/java/beechseam/platform/Callbacks.java
+++ b/src/main/java/beechseam/platform/Callbacks.java
@@ -47,8 +47,10 @@
         } catch (IOException e) {
             return false;
         }
-        if (!(tree instanceof Map<?, ?> event) || !(event.get("id") instanceof String id)
-            || !(event.get("from") instanceof String from) || !(event.get("state") instanceof String state)) {
+        if (!(tree instanceof Map<?, ?> event)
+                || !(event.get("id") instanceof String id)
+                || !(event.get("from") instanceof String from)
+                || !(event.get("state") instanceof String state)) {
             return false;
         }
         Request request = engine.find(id);
@@ -72,7 +74,7 @@
             case "failed" -> engine.ended(attempt, Outcome.ERROR, null, load);
             case "returned" -> engine.ended(attempt, Outcome.REFUSED, null, load);
             case "lost" -> engine.ended(attempt, Outcome.LOST, null, load);
-            default -> { } // a state of a later version of the protocol
+            default -> {} // a state of a later version of the protocol
         }
         return true;
     }
--- a/src/main/java/beechseam/platform/Discovery.java
+++ b/src/main/java/beechseam/platform/Discovery.java
@@ -32,6 +32,7 @@
     private static final long LEAST_WAIT_MS = 1;
     /** So often at most the configuration is looked at again; far less than what a moved address is given. */
     private static final long REREAD_INTERVAL_NS = 1_000_000_000L;
+
     private static final String ENTRIES = "entries";
     /** The longest list in bytes: some 20,000 entries as discovery writes them, 10,000 of them indented. */
     static final int MAX_LIST = 4 * 1024 * 1024;
@@ -51,8 +52,14 @@
     private final Set<String> complaints = new HashSet<>();
 
     /** {@code drainGraceNs}: see {@link ListWatch}. */
-    Discovery(EventLoop loop, InetSocketAddress address, String host, Engine engine, EgressPool pool,
-              Maintenance maintenance, long drainGraceNs) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            String host,
+            Engine engine,
+            EgressPool pool,
+            Maintenance maintenance,
+            long drainGraceNs) {
         this.maintenance = maintenance;
         this.loop = loop;
         this.address = address;
@@ -114,13 +121,16 @@
             return;
         }
         rereading = true;
-        loop.callAside(configuration::read, now -> {
-            reread();
-            move(now.discovery(), now.discoveryHost());
-        }, why -> {
-            reread();
-            LOG.log(Level.WARNING, "discovery is not at " + host + ", and " + why.getMessage());
-        });
+        loop.callAside(
+                configuration::read,
+                now -> {
+                    reread();
+                    move(now.discovery(), now.discoveryHost());
+                },
+                why -> {
+                    reread();
+                    LOG.log(Level.WARNING, "discovery is not at " + host + ", and " + why.getMessage());
+                });
     }
 
     private void reread() {
@@ -217,8 +227,8 @@
         void ask(ListWatch.Call next) {
             call = next;
             long waitMs = Math.max(LEAST_WAIT_MS, next.waitNs / 1_000_000L);
-            String target = next.after < 0 ? "/catalog/members"
-                : "/catalog/members?after=" + next.after + "&wait_ms=" + waitMs;
+            String target =
+                    next.after < 0 ? "/catalog/members" : "/catalog/members?after=" + next.after + "&wait_ms=" + waitMs;
             write(HttpWriter.request("GET", target, host, "", Wire.NOTHING));
             if (connecting()) {
                 connect(address);
@@ -265,8 +275,10 @@
             try {
                 list = read();
             } catch (IOException e) {
-                unusable("content", "an answer of " + parser.body().length() + " bytes that is no list: "
-                    + e.getMessage().lines().findFirst().orElse(""));
+                unusable(
+                        "content",
+                        "an answer of " + parser.body().length() + " bytes that is no list: "
+                                + e.getMessage().lines().findFirst().orElse(""));
                 return;
             }
             complaints.retainAll(partly ? Set.of(ENTRIES) : Set.of());
@@ -276,7 +288,8 @@
         }
 
         private MemberList read() throws IOException {
-            Object tree = Json.parse(parser.body().bytes(), parser.body().from(), parser.body().length());
+            Object tree = Json.parse(
+                    parser.body().bytes(), parser.body().from(), parser.body().length());
             if (!(tree instanceof Map<?, ?> map)) {
                 throw new IOException("not an object");
             }
--- a/src/main/java/beechseam/platform/DrainSchedule.java
+++ b/src/main/java/beechseam/platform/DrainSchedule.java
@@ -6,10 +6,10 @@
  * jobs are shed. On standby connections of call-backs are spared: they are no client's.
  */
 record DrainSchedule(long leavesAt, long clearsAt, long shedsAt, boolean sparesCallbacks) {
-    static final DrainSchedule NONE =
-        new DrainSchedule(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, false);
+    static final DrainSchedule NONE = new DrainSchedule(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, false);
     /** The front learns of a standby within 0.3 s; 4 s after the call nothing idle or young may be held. */
     private static final long STANDBY_CLEARS_NS = 1_000_000_000L;
+
     private static final long STANDBY_SHEDS_NS = 2_000_000_000L;
 
     static DrainSchedule standby(long now) {
--- a/src/main/java/beechseam/platform/EgressPool.java
+++ b/src/main/java/beechseam/platform/EgressPool.java
@@ -30,6 +30,7 @@
         boolean gone;
         /** How long a connection to it may stand idle and still be used. */
         long keepIdleNs;
+
         long staleAt;
 
         Target(long id, String host, InetSocketAddress address, long keepIdleNs) {
@@ -60,11 +61,13 @@
     private int mostPerTarget;
     /** The pauses after a socket that could not be opened here. */
     private static final long FIRST_PAUSE_NS = 10_000_000L;
+
     private static final long LONGEST_PAUSE_NS = 160_000_000L;
 
     private final Map<Long, Target> targets = new HashMap<>();
     /** Those whose exchanges wait for a connection. */
     private final Set<Target> queued = new LinkedHashSet<>();
+
     private final Runnable descriptorFreed = this::descriptorFreed;
     private final Timer pause = new Timer() {
         @Override
@@ -77,6 +80,7 @@
     private boolean sendsAtTurnEnd;
     /** No longer listed, but with connections that are still busy: these end by the same clocks. */
     private final Set<Target> removed = new LinkedHashSet<>();
+
     private int open;
 
     /** The executor's side closes what stands idle for {@code idleCloseNs}: this side does so well before. */
--- a/src/main/java/beechseam/platform/Exchange.java
+++ b/src/main/java/beechseam/platform/Exchange.java
@@ -14,8 +14,7 @@
     abstract ByteBuffer bytes();
 
     /** Its last byte has gone. */
-    void written() {
-    }
+    void written() {}
 
     /** Whether its answer, which has not come whole, is of no use any more. */
     boolean outlived(long time) {
