--- a/src/main/java/beechseam/platform/IngressConnection.java
+++ b/src/main/java/beechseam/platform/IngressConnection.java
@@ -38,16 +38,20 @@
             if (allowed(m.method().same("POST"), "POST")) {
                 callbacks = true;
                 boolean understood = node.callbacks.take(m.body());
-                respond(understood ? 204 : 400, understood ? "" : PLAIN,
-                    understood ? Wire.NOTHING : text("not a job event"));
+                respond(
+                        understood ? 204 : 400,
+                        understood ? "" : PLAIN,
+                        understood ? Wire.NOTHING : text("not a job event"));
                 node.counters.badInput += understood ? 0 : 1;
             }
         } else if (path.same("/_health")) {
             if (allowed(get, "GET")) {
                 boolean ready = node.ready();
                 String table = node.routeTable().name().toLowerCase(Locale.ROOT);
-                respond(ready ? 200 : 503, PLAIN + "X-Route-Table: " + table + "\r\n",
-                    text(ready ? "ready" : "not ready"));
+                respond(
+                        ready ? 200 : 503,
+                        PLAIN + "X-Route-Table: " + table + "\r\n",
+                        text(ready ? "ready" : "not ready"));
             }
         } else if (path.same("/_counters")) {
             if (allowed(get, "GET")) {
@@ -68,8 +72,9 @@
 
     private void job(HttpParser m, Slice path) {
         int second = path.length() == 0 ? -1 : path.part(1, path.length()).indexOf('/');
-        String first = path.length() < 2 ? ""
-            : path.part(1, second < 0 ? path.length() : second + 1).toString();
+        String first = path.length() < 2
+                ? ""
+                : path.part(1, second < 0 ? path.length() : second + 1).toString();
         if (node.options.findClass(first) < 0) {
             bad(404, "nothing is served at this path");
             return;
@@ -83,8 +88,7 @@
         long budget = Wire.time(m.header("x-time-left"));
         Slice key = m.header("idempotency-key");
         if (jobClass < 0 || !named.same(first)) {
-            bad(400, named == null ? "X-Service-Class is missing"
-                : "X-Service-Class names no class of this path");
+            bad(400, named == null ? "X-Service-Class is missing" : "X-Service-Class names no class of this path");
         } else if (id == null || !isId(id)) {
             bad(400, "X-Correlation-Id is missing or no id");
         } else if (budget < 0) {
@@ -132,8 +136,12 @@
     }
 
     private void take(HttpParser m, int jobClass, Slice id, long budget, Slice key) {
-        StringBuilder headers = new StringBuilder(160).append("X-Correlation-Id: ").append(id)
-            .append("\r\nX-Service-Class: ").append(m.header("x-service-class")).append("\r\n");
+        StringBuilder headers = new StringBuilder(160)
+                .append("X-Correlation-Id: ")
+                .append(id)
+                .append("\r\nX-Service-Class: ")
+                .append(m.header("x-service-class"))
+                .append("\r\n");
         if (key != null) {
             headers.append("Idempotency-Key: ").append(key).append("\r\n");
         }
@@ -144,7 +152,8 @@
         Slice facts = m.header("x-facts");
         double slots = Wire.fact(facts, "slots");
         double memory = Wire.fact(facts, "memory");
-        JobMessage message = new JobMessage(m.target().toString(), headers.toString(), m.body().copy());
+        JobMessage message = new JobMessage(
+                m.target().toString(), headers.toString(), m.body().copy());
         boolean firstTry = node.options.marksRetries && m.header("x-repeat") == null;
         Job job = new Job(0, jobClass, budget, 0, slots > 0 ? slots : 1, memory >= 0 ? memory : 0, firstTry);
         taking = true;
@@ -176,8 +185,7 @@
     }
 
     private void refuse(long pauseNs) {
-        String pause = pauseNs <= 0 ? ""
-            : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", pauseNs / 1e9);
+        String pause = pauseNs <= 0 ? "" : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", pauseNs / 1e9);
         respond(503, PLAIN + pause, text("too busy; trying again is harmless"));
     }
 
--- a/src/main/java/beechseam/platform/IngressTable.java
+++ b/src/main/java/beechseam/platform/IngressTable.java
@@ -124,9 +124,9 @@
      */
     void closeIdle(long now, boolean sparesCallbacks) {
         List.copyOf(connections).stream()
-            .filter(each -> each.idle() && now - each.lastActivity() > QUIET_NS)
-            .filter(each -> !(each.callbacks() && sparesCallbacks))
-            .forEach(IngressConnection::closeUnlessAsked);
+                .filter(each -> each.idle() && now - each.lastActivity() > QUIET_NS)
+                .filter(each -> !(each.callbacks() && sparesCallbacks))
+                .forEach(IngressConnection::closeUnlessAsked);
     }
 
     /** Whether none is left, but for idle ones of call-backs where these are spared. */
--- a/src/main/java/beechseam/platform/ListWatch.java
+++ b/src/main/java/beechseam/platform/ListWatch.java
@@ -23,11 +23,13 @@
 final class ListWatch {
     /** The platform's term: news counts as told so long after discovery had it and could be reached. */
     static final long PROPAGATION_LIMIT_NS = 6_000_000_000L;
+
     static final long WATCH_WAIT_NS = PROPAGATION_LIMIT_NS / 3;
     /** An answer that is due may be late by so much, and still be the first. */
     static final long ANSWER_TIMEOUT_NS = PROPAGATION_LIMIT_NS / 6;
     /** No deployment's grace makes the calls denser than this, and none makes them rarer. */
     static final long MIN_RETRY_INTERVAL_NS = 50_000_000L;
+
     static final long MAX_RETRY_INTERVAL_NS = PROPAGATION_LIMIT_NS / 24;
     /** Calls out at a time; each may hold a descriptor. */
     static final int MAX_PENDING_CALLS = 8;
@@ -61,6 +63,7 @@
         private long sentAt;
         /** When the first and the last bytes of its answer came; 0 before the first. */
         private long firstHeardAt;
+
         private long lastHeardAt;
         /** What the transport keeps of it. */
         Object connection;
@@ -102,6 +105,7 @@
     private boolean hasFullList;
     /** The last call was answered: the next may wait. */
     private boolean healthy;
+
     private boolean held;
     private boolean stopped;
     private boolean failing;
@@ -115,8 +119,7 @@
         this.transport = transport;
         retryIntervalNs = Math.max(MIN_RETRY_INTERVAL_NS, Math.min(MAX_RETRY_INTERVAL_NS, drainGraceNs / 2));
         long stallNs = Math.max(MIN_RETRY_INTERVAL_NS, drainGraceNs * 2 / 3); // the rest is a call's way
-        freshness = new RouteTableFreshness(clock, timers, stallNs, ANSWER_TIMEOUT_NS, this::readUnread,
-            this::recheck);
+        freshness = new RouteTableFreshness(clock, timers, stallNs, ANSWER_TIMEOUT_NS, this::readUnread, this::recheck);
     }
 
     /** Whether the list may be acted on. */
@@ -261,7 +264,10 @@
 
     /** The oldest call that hears nothing, or the youngest: a long list needs time to come. */
     private Call leastUseful() {
-        return pending.stream().filter(each -> each.lastHeardAt == 0).findFirst().orElse(pending.peekLast());
+        return pending.stream()
+                .filter(each -> each.lastHeardAt == 0)
+                .findFirst()
+                .orElse(pending.peekLast());
     }
 
     private void cancel() {
--- a/src/main/java/beechseam/platform/Maintenance.java
+++ b/src/main/java/beechseam/platform/Maintenance.java
@@ -11,6 +11,7 @@
     private final Engine engine;
     /** Where it is kept, or null. */
     private final MaintenanceFile kept;
+
     private final Map<String, Long> listed = new HashMap<>();
     private boolean unkept;
     /** When each was put back; 0 while it is left out. */
--- a/src/main/java/beechseam/platform/PlatformEgress.java
+++ b/src/main/java/beechseam/platform/PlatformEgress.java
@@ -98,8 +98,8 @@
             attempt.lingers(true);
             JobMessage m = (JobMessage) attempt.request.message;
             long leftMs = Math.max(1, (attempt.request.deadlineAt - engine.now()) / 1_000_000L);
-            return HttpWriter.request("POST", m.target(), target.host,
-                m.headers() + "X-Time-Left: " + leftMs + "m\r\n", m.body());
+            return HttpWriter.request(
+                    "POST", m.target(), target.host, m.headers() + "X-Time-Left: " + leftMs + "m\r\n", m.body());
         }
 
         @Override
@@ -134,10 +134,12 @@
             }
             Slice unprocessed = answer.header("x-unprocessed");
             attempt.lingers(attempt.heardOf()); // its answer is its end, unless call-backs have begun
-            boolean neverRan = (status == 503 || status == 504) && unprocessed != null
-                && unprocessed.same("1");
-            engine.ended(attempt, neverRan ? Outcome.REFUSED : Outcome.ERROR, null,
-                Wire.load(options, answer.header("x-backend-load")));
+            boolean neverRan = (status == 503 || status == 504) && unprocessed != null && unprocessed.same("1");
+            engine.ended(
+                    attempt,
+                    neverRan ? Outcome.REFUSED : Outcome.ERROR,
+                    null,
+                    Wire.load(options, answer.header("x-backend-load")));
         }
 
         @Override
@@ -155,8 +157,12 @@
          */
         void takeBack() {
             if (accepted && !givenUp && !target.gone) {
-                pool.send(target, new Delete(target, attempt.request.correlation,
-                    () -> engine.ended(attempt, Outcome.CANCELLED, null, null)));
+                pool.send(
+                        target,
+                        new Delete(
+                                target,
+                                attempt.request.correlation,
+                                () -> engine.ended(attempt, Outcome.CANCELLED, null, null)));
             }
         }
 
@@ -171,7 +177,7 @@
             givenUp = true;
             pool.loop.timers.cancel(silence);
             if (accepted && !target.gone) {
-                pool.send(target, new Delete(target, attempt.request.correlation, () -> { }));
+                pool.send(target, new Delete(target, attempt.request.correlation, () -> {}));
             } else if (connection != null) {
                 connection.abandon();
             }
@@ -197,8 +203,8 @@
 
         @Override
         ByteBuffer bytes() {
-            return HttpWriter.request("DELETE", "/jobs/" + id, target.host,
-                "X-Correlation-Id: " + id + "\r\n", Wire.NOTHING);
+            return HttpWriter.request(
+                    "DELETE", "/jobs/" + id, target.host, "X-Correlation-Id: " + id + "\r\n", Wire.NOTHING);
         }
 
         @Override
@@ -260,7 +266,7 @@
             Slice body = answer.body();
             try {
                 if (body.length() > 0
-                    && Json.parse(body.bytes(), body.from(), body.length()) instanceof Map<?, ?> report) {
+                        && Json.parse(body.bytes(), body.from(), body.length()) instanceof Map<?, ?> report) {
                     load = Wire.load(options, report.get("load") instanceof Map<?, ?> inner ? inner : report);
                 }
             } catch (IOException e) {
--- a/src/main/java/beechseam/platform/PlatformNode.java
+++ b/src/main/java/beechseam/platform/PlatformNode.java
@@ -31,6 +31,7 @@
     private static final long KILL_NS = 700_000_000L;
     /** So long after SIGTERM new connections come, and clients that are sent away could come back here. */
     private static final long NEW_CONNECTIONS_NS = 400_000_000L;
+
     private static final long MOST_COUNTED_NS = 3_000_000_000L;
     private static final long KILL_MARGIN_NS = 300_000_000L;
     private static final long LAST_REQUEST_NS = 1_000_000_000L;
@@ -40,6 +41,7 @@
      * that the runtime lets go only at the turn's end; discovery's calls; the runtime's selector and files.
      */
     private static final int RUNTIME_FILES = 24;
+
     private static final int SPARE_SOCKETS = Listener.AT_ONCE + ListWatch.MAX_PENDING_CALLS + RUNTIME_FILES;
 
     /** The configuration as its file has it now, checked. */
@@ -81,7 +83,8 @@
         this.loop = loop;
         this.config = config;
         options = config.options();
-        pool = new EgressPool(loop, config.connectTimeoutNs(), options.settings.limits().idleCloseNs());
+        pool = new EgressPool(
+                loop, config.connectTimeoutNs(), options.settings.limits().idleCloseNs());
         PlatformEgress egress = new PlatformEgress(pool, options);
         engine = new Engine(options.settings, config.seed(), loop::now, loop.timers, egress, counters);
         egress.attach(engine);
@@ -89,10 +92,15 @@
         counters.confLoaded++;
         callbacks = new Callbacks(engine, options, this::elsewhere);
         boolean keeps = config.console() != null && config.state() != null;
-        maintenance = new Maintenance(engine,
-            keeps ? new MaintenanceFile(config.state(), config.address()) : null);
-        discovery = new Discovery(loop, config.discovery(), config.discoveryHost(), engine, pool,
-            maintenance, options.settings.rules().drainGraceNs());
+        maintenance = new Maintenance(engine, keeps ? new MaintenanceFile(config.state(), config.address()) : null);
+        discovery = new Discovery(
+                loop,
+                config.discovery(),
+                config.discoveryHost(),
+                engine,
+                pool,
+                maintenance,
+                options.settings.rules().drainGraceNs());
         discovery.freshness().onOpen(() -> loop.atTurnEnd(engine::resume));
         engine.gate(discovery.freshness());
         discovery.start(config.known());
@@ -142,12 +150,12 @@
      */
     public void reload(NodeConfig next) {
         discovery.move(next.discovery(), next.discoveryHost());
-        if (!next.listen().equals(config.listen()) || !next.name().equals(config.name())
-            || !next.options().settings.equals(config.options().settings)
-            || !Objects.equals(next.console(), config.console())
-            || next.connectTimeoutNs() != config.connectTimeoutNs()) {
-            LOG.log(Level.WARNING,
-                "reload: a new name, listen, console or settings counts from the next start");
+        if (!next.listen().equals(config.listen())
+                || !next.name().equals(config.name())
+                || !next.options().settings.equals(config.options().settings)
+                || !Objects.equals(next.console(), config.console())
+                || next.connectTimeoutNs() != config.connectTimeoutNs()) {
+            LOG.log(Level.WARNING, "reload: a new name, listen, console or settings counts from the next start");
         }
         config = next;
         counters.confLoaded++;
@@ -205,11 +213,15 @@
 
     /** Why clients are not served, or null; {@code mayGo}: attempts may begin. */
     private String notServing(boolean mayGo) {
-        return stopping ? "stopping" : standby() ? "standby"
-            : succession != null && !succession.joined() ? "starting"
-            : !mayGo ? "waiting for discovery's list"
-            : discovery.held() || engine.routes().size() > 0 ? null
-            : "no route table yet";
+        return stopping
+                ? "stopping"
+                : standby()
+                        ? "standby"
+                        : succession != null && !succession.joined()
+                                ? "starting"
+                                : !mayGo
+                                        ? "waiting for discovery's list"
+                                        : discovery.held() || engine.routes().size() > 0 ? null : "no route table yet";
     }
 
     boolean standby() {
@@ -283,13 +295,16 @@
         if (!stopping) {
             stopping = true;
             stopped = done;
-            long longest = options.settings.classes().stream().mapToLong(JobClass::deadlineNs).max()
-                .orElse(0);
+            long longest = options.settings.classes().stream()
+                    .mapToLong(JobClass::deadlineNs)
+                    .max()
+                    .orElse(0);
             long last = KILL_NS + Math.min(MOST_COUNTED_NS, longest) - KILL_MARGIN_NS;
             engine.lastAnswer(loop.now() + last);
             // On standby clients have found other nodes: nothing is waited for.
-            long late = drainSchedule != DrainSchedule.NONE ? loop.now()
-                : loop.now() + Math.max(NEW_CONNECTIONS_NS, last - LAST_REQUEST_NS);
+            long late = drainSchedule != DrainSchedule.NONE
+                    ? loop.now()
+                    : loop.now() + Math.max(NEW_CONNECTIONS_NS, last - LAST_REQUEST_NS);
             LOG.log(Level.INFO, "stopping with " + engine.open() + " open requests");
             depart(late);
             loop.timers.set(drain, loop.now() + DRAIN_CHECK_NS); // the last who wait are accepted by then
@@ -329,8 +344,7 @@
             ingress.closeIdle(now, drainSchedule.sparesCallbacks());
         }
         // The listener stays to the last where it is the only one: call-backs come to it.
-        if (stopping && leaving() && engine.open() == 0
-            && ingress.drained(drainSchedule.sparesCallbacks())) {
+        if (stopping && leaving() && engine.open() == 0 && ingress.drained(drainSchedule.sparesCallbacks())) {
             if (listener != null) {
                 listener.close();
             }
--- a/src/main/java/beechseam/platform/RouteTableFreshness.java
+++ b/src/main/java/beechseam/platform/RouteTableFreshness.java
@@ -38,7 +38,7 @@
     private final long patienceNs;
     private final BooleanSupplier readUnread;
     private final Runnable askAgain;
-    private Runnable opened = () -> { };
+    private Runnable opened = () -> {};
     private final Timer heartbeat = new Timer() {
         @Override
         protected void fire() {
@@ -59,8 +59,13 @@
      * @param readUnread takes in all that discovery has sent and is unread; whether there was any
      * @param askAgain makes a call that discovery answers at once
      */
-    RouteTableFreshness(LongSupplier clock, Timers timers, long stallNs, long patienceNs,
-                        BooleanSupplier readUnread, Runnable askAgain) {
+    RouteTableFreshness(
+            LongSupplier clock,
+            Timers timers,
+            long stallNs,
+            long patienceNs,
+            BooleanSupplier readUnread,
+            Runnable askAgain) {
         this.clock = clock;
         this.timers = timers;
         this.stallNs = stallNs;
@@ -180,11 +185,14 @@
         }
         boolean wasOpen = state != State.AWAITED;
         state = next;
-        LOG.log(Level.INFO, "route table " + next.name().toLowerCase(Locale.ROOT) + switch (next) {
-            case AWAITED -> ": requests wait for discovery's answer";
-            case CONFIRMED -> " by discovery";
-            case UNCONFIRMED -> ": discovery is silent, requests go by the list as held";
-        });
+        LOG.log(
+                Level.INFO,
+                "route table " + next.name().toLowerCase(Locale.ROOT)
+                        + switch (next) {
+                            case AWAITED -> ": requests wait for discovery's answer";
+                            case CONFIRMED -> " by discovery";
+                            case UNCONFIRMED -> ": discovery is silent, requests go by the list as held";
+                        });
         if (!wasOpen) {
             hasOpened = true;
             opened.run();
--- a/src/main/java/beechseam/platform/ServerStartTimes.java
+++ b/src/main/java/beechseam/platform/ServerStartTimes.java
@@ -26,11 +26,11 @@
     private static final long READING_TOLERANCE_NS = 20_000_000L;
     /** A wall clock that is slewed runs fast or slow by up to a two-thousandth; a step is more. */
     private static final long SLEW_DIVISOR = 1000;
+
     private static final long MS = 1_000_000L;
 
     /** What a list said of a server's start, and when that was on the steady clock. */
-    private record Start(long dateMs, long at) {
-    }
+    private record Start(long dateMs, long at) {}
 
     private final LongSupplier clock;
     private final LongSupplier wallClockMs;
@@ -38,6 +38,7 @@
     private boolean confirmed;
     /** When the list before this one was taken in, and the wall clock's lead over the steady one then. */
     private long confirmedAt;
+
     private long confirmedLeadNs;
     private long now;
     private long wallNowMs;
--- a/src/main/java/beechseam/platform/Succession.java
+++ b/src/main/java/beechseam/platform/Succession.java
@@ -175,7 +175,10 @@
     /** The list's figures; none where it is no such list. */
     private static double[] figures(Object list) {
         return list instanceof List<?> all && all.stream().allMatch(each -> each instanceof Number)
-            ? all.stream().mapToDouble(each -> ((Number) each).doubleValue()).toArray() : new double[0];
+                ? all.stream()
+                        .mapToDouble(each -> ((Number) each).doubleValue())
+                        .toArray()
+                : new double[0];
     }
 
     @Override
--- a/src/main/java/beechseam/platform/Wire.java
+++ b/src/main/java/beechseam/platform/Wire.java
@@ -10,8 +10,7 @@
     static final byte[] NOTHING = new byte[0];
     private static final double MAX_MINUTES_NS = 71 * 60e9;
 
-    private Wire() {
-    }
+    private Wire() {}
 
     /** A time with its unit, {@code 480m} or {@code 1500u}, in nanoseconds; -1 when it is none. */
     static long time(Slice s) {
@@ -74,7 +73,8 @@
 
     /** A report in a call-back or a probe's answer, or null. */
     static Load load(ModuleOptions options, Map<?, ?> report) {
-        return report == null || report.isEmpty() ? null
-            : options.load(name -> report.get(name) instanceof Number n ? n.doubleValue() : Double.NaN);
+        return report == null || report.isEmpty()
+                ? null
+                : options.load(name -> report.get(name) instanceof Number n ? n.doubleValue() : Double.NaN);
     }
 }
--- a/src/main/java/beechseam/servlet/BalancerFilter.java
+++ b/src/main/java/beechseam/servlet/BalancerFilter.java
@@ -92,8 +92,8 @@
      * @param mostBody bytes of a body at most
      * @param longest  how long the container waits where the routing names no deadline
      */
-    public BalancerFilter(Balancer<Q, R> balancer, Routing<Q, R> routing, Statuses statuses, int mostBody,
-                          Duration longest) {
+    public BalancerFilter(
+            Balancer<Q, R> balancer, Routing<Q, R> routing, Statuses statuses, int mostBody, Duration longest) {
         this.balancer = Objects.requireNonNull(balancer, "balancer");
         this.routing = Objects.requireNonNull(routing, "routing");
         this.statuses = Objects.requireNonNull(statuses, "statuses");
@@ -106,7 +106,7 @@
 
     @Override
     public void doFilter(ServletRequest request, ServletResponse response, FilterChain chain)
-        throws IOException, ServletException {
+            throws IOException, ServletException {
         String type = request instanceof HttpServletRequest http ? routing.type(http) : null;
         if (type == null) {
             chain.doFilter(request, response);
@@ -155,8 +155,11 @@
                     routing.answer(s.value(), response);
                 } else if (outcome instanceof Outcome.Refused<R> r) {
                     // Whole seconds: clients of the open web know no others.
-                    r.retryAfter().ifPresent(pause -> response.setHeader("Retry-After",
-                        Long.toString(Math.max(1, pause.plusNanos(999_999_999L).toSeconds()))));
+                    r.retryAfter()
+                            .ifPresent(pause -> response.setHeader(
+                                    "Retry-After",
+                                    Long.toString(Math.max(
+                                            1, pause.plusNanos(999_999_999L).toSeconds()))));
                     plain(response, statuses.refused(), r.why() + "; trying again is harmless");
                 } else if (outcome instanceof Outcome.Failed<R> f) {
                     plain(response, f.late() ? statuses.late() : statuses.failed(), f.why());
--- a/src/main/java/beechseam/sim/Replies.java
+++ b/src/main/java/beechseam/sim/Replies.java
@@ -1,9 +1,9 @@
 package beechseam.sim;
 
+import beechseam.Dispatching.Actions;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import beechseam.Dispatching.Actions;
 
 /** Writes actions as lines of the wire. */
 final class Replies {
@@ -21,25 +21,36 @@
 
     void bug(int who, RuntimeException e) throws IOException {
         StackTraceElement[] trace = e.getStackTrace();
-        new Line("Bug", who).text("ReasonText", e + (trace.length > 0 ? " at " + trace[0] : "")).end();
+        new Line("Bug", who)
+                .text("ReasonText", e + (trace.length > 0 ? " at " + trace[0] : ""))
+                .end();
     }
 
     Actions forInstance(int who) {
         return new Actions() {
             @Override
             public void send(long job, long worker, long timeoutNs) {
-                new Line("HandOff", who).number("Corr", job).number("Worker", worker)
-                    .number("TryForNs", timeoutNs).end();
+                new Line("HandOff", who)
+                        .number("Corr", job)
+                        .number("Worker", worker)
+                        .number("TryForNs", timeoutNs)
+                        .end();
             }
 
             @Override
             public void cancel(long job, int attempt) {
-                new Line("DropAttempt", who).number("Corr", job).number("Leg", attempt).end();
+                new Line("DropAttempt", who)
+                        .number("Corr", job)
+                        .number("Leg", attempt)
+                        .end();
             }
 
             @Override
             public void refuse(long job, long pauseNs) {
-                new Line("Decline", who).number("Corr", job).number("PauseNs", pauseNs).end();
+                new Line("Decline", who)
+                        .number("Corr", job)
+                        .number("PauseNs", pauseNs)
+                        .end();
             }
 
             @Override
@@ -54,7 +65,10 @@
 
             @Override
             public void wakeIn(long offsetNs, long tag) {
-                new Line("NotifyMe", who).number("OffsetNs", offsetNs).number("Tag", tag).end();
+                new Line("NotifyMe", who)
+                        .number("OffsetNs", offsetNs)
+                        .number("Tag", tag)
+                        .end();
             }
 
             @Override
--- a/src/main/java/beechseam/spring/BalancedCalls.java
+++ b/src/main/java/beechseam/spring/BalancedCalls.java
@@ -38,8 +38,7 @@
  */
 public final class BalancedCalls implements ClientHttpRequestInterceptor {
     /** A call on its way: what the balancer's jobs are. */
-    public record Call(HttpRequest request, byte[] body, ClientHttpRequestExecution execution) {
-    }
+    public record Call(HttpRequest request, byte[] body, ClientHttpRequestExecution execution) {}
 
     private final Balancer<Call, ClientHttpResponse> balancer;
     private final Function<HttpRequest, String> routing;
@@ -63,19 +62,23 @@
         URI to = at(call.request().getURI(), attempt.target().id());
         ClientHttpResponse response;
         try {
-            response = call.execution().execute(new HttpRequestWrapper(call.request()) {
-                @Override
-                public URI getURI() {
-                    return to;
-                }
-            }, call.body());
+            response = call.execution()
+                    .execute(
+                            new HttpRequestWrapper(call.request()) {
+                                @Override
+                                public URI getURI() {
+                                    return to;
+                                }
+                            },
+                            call.body());
         } catch (ConnectException e) { // nothing has gone out
             throw new NeverRanException(NeverRanException.Reason.UNREACHABLE, "no connection to " + to, e);
         }
         boolean unprocessed = "1".equals(response.getHeaders().getFirst("X-Unprocessed"));
         if (unprocessed && response.getStatusCode().value() == HttpStatus.SERVICE_UNAVAILABLE.value()) {
             response.close();
-            throw new NeverRanException(NeverRanException.Reason.FULL, attempt.target().id() + " is full");
+            throw new NeverRanException(
+                    NeverRanException.Reason.FULL, attempt.target().id() + " is full");
         }
         if (attempt.cancelled()) { // nobody will read it
             response.close();
@@ -87,20 +90,19 @@
         int colon = address.lastIndexOf(':');
         String host = colon < 0 ? address : address.substring(0, colon);
         int port = colon < 0 ? -1 : Integer.parseInt(address.substring(colon + 1));
-        return new URI(uri.getScheme(), uri.getUserInfo(), host, port, uri.getPath(), uri.getQuery(),
-            uri.getFragment());
+        return new URI(
+                uri.getScheme(), uri.getUserInfo(), host, port, uri.getPath(), uri.getQuery(), uri.getFragment());
     }
 
     @Override
-    public ClientHttpResponse intercept(HttpRequest request, byte[] body,
-        ClientHttpRequestExecution execution)
-        throws IOException {
+    public ClientHttpResponse intercept(HttpRequest request, byte[] body, ClientHttpRequestExecution execution)
+            throws IOException {
         String type = routing.apply(request);
         if (type == null) {
             return execution.execute(request, body);
         }
         CompletableFuture<Outcome<ClientHttpResponse>> future =
-            balancer.dispatch(type, new Call(request, body, execution));
+                balancer.dispatch(type, new Call(request, body, execution));
         Outcome<ClientHttpResponse> outcome;
         try {
             outcome = future.get();
@@ -115,12 +117,16 @@
             return served.value();
         }
         if (outcome instanceof Outcome.Refused<ClientHttpResponse> refused) {
-            return new Answer(HttpStatus.SERVICE_UNAVAILABLE, refused.why(), refused.retryAfter()
-                .map(pause -> Math.max(1, pause.plusNanos(999_999_999L).toSeconds())));
+            return new Answer(
+                    HttpStatus.SERVICE_UNAVAILABLE,
+                    refused.why(),
+                    refused.retryAfter()
+                            .map(pause ->
+                                    Math.max(1, pause.plusNanos(999_999_999L).toSeconds())));
         }
         Outcome.Failed<ClientHttpResponse> failed = (Outcome.Failed<ClientHttpResponse>) outcome;
-        return new Answer(failed.late() ? HttpStatus.GATEWAY_TIMEOUT : HttpStatus.BAD_GATEWAY, failed.why(),
-            Optional.empty());
+        return new Answer(
+                failed.late() ? HttpStatus.GATEWAY_TIMEOUT : HttpStatus.BAD_GATEWAY, failed.why(), Optional.empty());
     }
 
     /** One that no target gave. */
--- a/src/test/java/beechseam/Loopback.java
+++ b/src/test/java/beechseam/Loopback.java
@@ -44,7 +44,7 @@
 
     /** A few turns in which nothing more is expected. */
     public void settle(long ms) {
-        for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end; ) {
             turn();
         }
     }
--- a/src/test/java/beechseam/load/GearmanLoadTest.java
+++ b/src/test/java/beechseam/load/GearmanLoadTest.java
@@ -10,7 +10,7 @@
 
 /** The tool itself, for a moment each: what it measures is not judged here, what it counts is. */
 class GearmanLoadTest {
-    private final GearmanLoad load = new GearmanLoad(0.1, List.of("-Xmx512m"), text -> { });
+    private final GearmanLoad load = new GearmanLoad(0.1, List.of("-Xmx512m"), text -> {});
 
     /** Clients and workers that do everything wrong, by a seed: the accounts must come out. */
     @Test
@@ -26,7 +26,7 @@
     @Test
     @Timeout(120)
     void everyDispatchIsAccountedFor() throws Exception {
-        LibraryLoad library = new LibraryLoad(text -> { });
+        LibraryLoad library = new LibraryLoad(text -> {});
         var accounts = library.accounts(20_000, 8, 32, 4730);
         assertEquals(0L, ((Number) accounts.get("wrong")).longValue(), accounts::toString);
         assertTrue((Long) accounts.get("served") > 19_000, accounts::toString);
