--- a/src/test/java/beechseam/platform/ServerStartTimesTest.java
+++ b/src/test/java/beechseam/platform/ServerStartTimesTest.java
@@ -18,6 +18,7 @@
 
     /** The node's clocks; the lists are dated by {@code listMs}. */
     private long now = 500 * S;
+
     private long nodeStepMs;
     private long listStepMs;
     private final ServerStartTimes times = new ServerStartTimes(() -> now, () -> now / MS + nodeStepMs);
