--- a/src/main/java/beechseam/cli/Serve.java
+++ b/src/main/java/beechseam/cli/Serve.java
@@ -14,8 +14,6 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 
 /** Runs a node until SIGTERM. */
 @Parameters(commandDescription = "Run a node; the platform tells it how by PROXY_CONFIG and its companions")
@@ -50,7 +48,7 @@
                 gearman != null ? GearmanConfig.read(gearman) : platformWanted ? null : GearmanConfig.usual();
         EventLoop loop = new EventLoop();
         PlatformNode[] reloaded = {null};
-        on("HUP", () -> reload(loop, reloaded, environment));
+        Signals.onSignal("HUP", () -> reload(loop, reloaded, environment));
         PlatformNode platform = node == null ? null : new PlatformNode(loop, node);
         reloaded[0] = platform;
         if (platform != null) {
@@ -78,8 +76,8 @@
                 greet(jobServer.address());
             }
         }
-        on("TERM", () -> loop.post(stop));
-        on("INT", () -> loop.post(stop));
+        Signals.onSignal("TERM", () -> loop.post(stop));
+        Signals.onSignal("INT", () -> loop.post(stop));
         loop.run();
         if (platform != null) {
             System.out.println(platform.counters());
@@ -103,21 +101,6 @@
                 + "; for an operator's file see README.");
     }
 
-    /**
-     * Left alone the runtime ends on these signals. On SIGHUP operators want the configuration read again; on
-     * SIGTERM its shutdown hooks would run beside the loop, and the one that ends all logging at once. One
-     * that was ignored before the start, as under nohup, the runtime leaves so whatever it is told.
-     */
-    private static void on(String signal, Runnable action) {
-        try {
-            if (Signal.handle(new Signal(signal), received -> action.run()) == SignalHandler.SIG_IGN) {
-                LOG.log(Level.WARNING, "SIG" + signal + " is ignored by who started this program, and stays so");
-            }
-        } catch (IllegalArgumentException e) { // the system has none, or the runtime leaves it alone
-            LOG.log(Level.WARNING, "SIG" + signal + " is not handled: " + e.getMessage());
-        }
-    }
-
     /**
      * On the signal's thread: a long file takes its time, for which the loop must not stand still. One at a
      * time, so that of signals in quick succession the file as read last counts last. A configuration that
--- a/src/main/java/beechseam/load/GearmanLoad.java
+++ b/src/main/java/beechseam/load/GearmanLoad.java
@@ -193,12 +193,16 @@
         }
 
         @Override
-        public void close() throws IOException, InterruptedException {
+        public void close() throws IOException {
             for (Lane lane : lanes) {
-                lane.call(() -> {
-                    all.stream().filter(s -> s.loop() == lane.loop).forEach(Speaker::close);
-                    return null;
-                });
+                try {
+                    lane.call(() -> {
+                        all.stream().filter(s -> s.loop() == lane.loop).forEach(Speaker::close);
+                        return null;
+                    });
+                } catch (InterruptedException e) {
+                    throw Interrupts.toIOException(e);
+                }
                 lane.close();
             }
         }
--- a/src/main/java/beechseam/load/ServerProcess.java
+++ b/src/main/java/beechseam/load/ServerProcess.java
@@ -140,9 +140,13 @@
     }
 
     @Override
-    public void close() throws IOException, InterruptedException {
+    public void close() throws IOException {
         if (process.isAlive()) {
-            stop();
+            try {
+                stop();
+            } catch (InterruptedException e) {
+                throw Interrupts.toIOException(e);
+            }
         }
         Files.deleteIfExists(file);
         Files.deleteIfExists(said);
--- a/src/test/java/beechseam/platform/StarterTest.java
+++ b/src/test/java/beechseam/platform/StarterTest.java
@@ -42,7 +42,7 @@
                     () -> moved.size() > 0 && moved.get(0).heard().startsWith("GET /catalog/members HTTP/1.1"));
             assertTrue(serving.isAlive());
             String said = Files.readString(dir.resolve("log"));
-            assertTrue(said.contains("SIGHUP is ignored by who started this program"), said);
+            assertTrue(said.contains("signal ignored name=SIGHUP reason=ignored before the start"), said);
         } finally {
             serving.destroyForcibly();
         }
