--- a/src/main/java/beechseam/cli/Serve.java
+++ b/src/main/java/beechseam/cli/Serve.java
@@ -52,7 +52,7 @@
         PlatformNode platform = node == null ? null : new PlatformNode(loop, node);
         reloaded[0] = platform;
         if (platform != null) {
-            platform.rereads(() -> NodeConfig.reload(environment));
+            platform.reloadsFrom(() -> NodeConfig.reload(environment));
         }
         GearmanServer jobServer =
                 second == null ? null : new GearmanServer(loop, second, node == null ? System.nanoTime() : node.seed());
@@ -103,7 +103,7 @@
 
     /**
      * On the signal's thread: a long file takes its time, for which the loop must not stand still. One at a
-     * time, so that of signals in quick succession the file as read last counts last. A configuration that
+     * time, so that of signals in quick handover the file as read last counts last. A configuration that
      * cannot be used leaves the node as it was.
      *
      * @param platform holds the node once there is one, which the loop's tasks see
@@ -114,7 +114,7 @@
                 NodeConfig next = NodeConfig.reload(environment);
                 loop.post(() -> reload(platform[0], () -> platform[0].reload(next)));
             } catch (ConfigException e) {
-                loop.post(() -> reload(platform[0], () -> platform[0].refuseReload(e.getMessage())));
+                loop.post(() -> reload(platform[0], () -> platform[0].rejectReload(e.getMessage())));
             }
         }
     }
--- a/src/main/java/beechseam/config/Tree.java
+++ b/src/main/java/beechseam/config/ConfigNode.java
@@ -14,7 +14,7 @@
  * notes what it was asked for, so that a key that nobody asked for is found, and a schema can be made of what
  * is asked.
  */
-public final class Tree {
+public final class ConfigNode {
     /** What a key must be. */
     enum Kind {
         TEXT,
@@ -34,7 +34,13 @@
      * may stand in place of a list; {@code child} is the last object read of it, null for other kinds.
      */
     record Asked(
-            Kind kind, boolean required, Object otherwise, double least, double most, List<String> words, Tree child) {}
+            Kind kind,
+            boolean required,
+            Object otherwise,
+            double least,
+            double most,
+            List<String> words,
+            ConfigNode child) {}
 
     /** Words further apart than this share of their length are not taken for one misspelt. */
     private static final double LIKE = 0.5;
@@ -45,7 +51,7 @@
     private final Map<?, ?> values;
     private final Map<String, Asked> asked = new LinkedHashMap<>();
 
-    public Tree(String path, Map<?, ?> values) {
+    public ConfigNode(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
@@ -55,7 +61,7 @@
     }
 
     private void note(
-            String key, Kind kind, Object otherwise, double least, double most, List<String> words, Tree child) {
+            String key, Kind kind, Object otherwise, double least, double most, List<String> words, ConfigNode child) {
         Asked before = asked.get(key);
         if (before == null || child != null) {
             asked.put(key, new Asked(kind, before != null && before.required, otherwise, least, most, words, child));
@@ -206,15 +212,15 @@
 
     public <E extends Enum<E>> E word(String key, Class<E> words, E otherwise) throws ConfigException {
         List<String> known = java.util.Arrays.stream(words.getEnumConstants())
-                .map(e -> e.name().toLowerCase())
+                .map(e -> e.toString().toLowerCase())
                 .toList();
-        note(key, Kind.WORD, otherwise == null ? null : otherwise.name().toLowerCase(), 0, 0, known, null);
+        note(key, Kind.WORD, otherwise == null ? null : otherwise.toString().toLowerCase(), 0, 0, known, null);
         String value = text(key, null);
         if (value == null) {
             return otherwise;
         }
         for (E each : words.getEnumConstants()) {
-            if (each.name().equalsIgnoreCase(value)) {
+            if (each.toString().equalsIgnoreCase(value)) {
                 return each;
             }
         }
@@ -261,17 +267,17 @@
         }
     }
 
-    public Tree object(String key) throws ConfigException {
+    public ConfigNode object(String key) throws ConfigException {
         require(key, Kind.OBJECT);
         return object(key, null);
     }
 
-    public Tree object(String key, Map<?, ?> otherwise) throws ConfigException {
+    public ConfigNode object(String key, Map<?, ?> otherwise) throws ConfigException {
         Object value = values.get(key);
         if (value != null && !(value instanceof Map<?, ?>)) {
             throw wrong(key, "must be an object");
         }
-        Tree child = new Tree(path(key), value == null ? otherwise : (Map<?, ?>) value);
+        ConfigNode child = new ConfigNode(path(key), value == null ? otherwise : (Map<?, ?>) value);
         note(key, Kind.OBJECT, null, 0, 0, null, child);
         return child;
     }
@@ -287,19 +293,19 @@
     }
 
     /** The objects of a list; absent is empty. */
-    public List<Tree> objects(String key) throws ConfigException {
+    public List<ConfigNode> objects(String key) throws ConfigException {
         return objects(key, null);
     }
 
     /** The same, or null where the word stands in the list's place. */
-    public List<Tree> objects(String key, String word) throws ConfigException {
+    public List<ConfigNode> objects(String key, String word) throws ConfigException {
         List<String> words = word == null ? null : List.of(word);
         note(key, Kind.OBJECTS, null, 0, 0, words, null);
         Object value = values.get(key);
         if (word != null && word.equals(value)) {
             return null;
         }
-        List<Tree> all = new ArrayList<>();
+        List<ConfigNode> all = new ArrayList<>();
         if (value == null) {
             return all;
         }
@@ -311,7 +317,7 @@
             if (!(each instanceof Map<?, ?> map)) {
                 throw new ConfigException(at, "must be an object");
             }
-            Tree child = new Tree(at, map);
+            ConfigNode child = new ConfigNode(at, map);
             note(key, Kind.OBJECTS, null, 0, 0, words, child);
             all.add(child);
         }
--- a/src/main/java/beechseam/config/GearmanConfig.java
+++ b/src/main/java/beechseam/config/GearmanConfig.java
@@ -1,12 +1,12 @@
 package beechseam.config;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.Group;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.Limits;
-import beechseam.Dispatching.Reports;
-import beechseam.Dispatching.Rules;
-import beechseam.Dispatching.Settings;
+import beechseam.dispatch.DeduplicationScope;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.JobClass;
+import beechseam.dispatch.LoadReportSource;
+import beechseam.dispatch.WorkerRules;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
         List<Place> places,
         Bounds bounds,
         Turns turns,
-        Limits limits,
+        DispatchLimits limits,
         double crossZonePrice,
         Map<String, Function> functions,
         Function anyFunction) {
@@ -127,7 +127,7 @@
     public static GearmanConfig usual() {
         try {
             // A job waits for a worker for an hour, as one would expect of a queue, and not for a minute.
-            return of(new Tree(
+            return of(new ConfigNode(
                     "",
                     Map.of(
                             "functions",
@@ -148,8 +148,8 @@
     }
 
     /** A file with one of each that it can have, read: what was asked of it is its schema. */
-    public static Tree sample() {
-        Tree sample = new Tree(
+    public static ConfigNode sample() {
+        ConfigNode sample = new ConfigNode(
                 "", Map.of("functions", List.of(Map.of("name", "f")), "workers", List.of(Map.of("client_id", "w"))));
         try {
             of(sample);
@@ -160,16 +160,16 @@
     }
 
     /** Reads, checks, and complains of keys that nobody asked for. */
-    public static GearmanConfig of(Tree c) throws ConfigException {
+    public static GearmanConfig of(ConfigNode c) throws ConfigException {
         String zone = c.text("zone", "-");
         List<Place> places = new ArrayList<>();
-        for (Tree each : c.objects("workers")) {
+        for (ConfigNode each : c.objects("workers")) {
             places.add(new Place(each.text("client_id"), each.text("zone", zone), (int)
                     each.whole("cell", 0, Integer.MAX_VALUE, 0)));
             each.noOthers();
         }
         Map<String, Function> functions = functions(c);
-        Limits limits = new Limits(
+        DispatchLimits limits = new DispatchLimits(
                 (int) c.whole("attempts", 1, 100, 6),
                 c.whole("retry_after_ms", 0, MAX_MS, 2000) * MS,
                 true,
@@ -215,14 +215,14 @@
         return config;
     }
 
-    private static Map<String, Function> functions(Tree c) throws ConfigException {
+    private static Map<String, Function> functions(ConfigNode c) throws ConfigException {
         Map<String, Function> functions = new LinkedHashMap<>();
-        List<Tree> named = c.objects("functions", ANY);
+        List<ConfigNode> named = c.objects("functions", ANY);
         if (named == null) {
-            functions.put(ANY, function(new Tree("functions", Map.of()), ANY));
+            functions.put(ANY, function(new ConfigNode("functions", Map.of()), ANY));
             return functions;
         }
-        for (Tree each : named) {
+        for (ConfigNode each : named) {
             String name = each.text("name");
             if (functions.put(name, function(each, name)) != null) {
                 throw each.wrong("name", "is there twice: " + name);
@@ -235,7 +235,7 @@
         return functions;
     }
 
-    private static Function function(Tree f, String name) throws ConfigException {
+    private static Function function(ConfigNode f, String name) throws ConfigException {
         long deadline = f.whole("deadline_ms", 10, MAX_MS, 60_000) * MS;
         long background = f.whole("background_deadline_ms", 10, MAX_MS, 3_600_000) * MS;
         // The module takes a run to last the aim until it knows better, so the aim leaves room for a wait.
@@ -245,13 +245,13 @@
         double worth = f.number("worth", 0.001, 1e9, 1);
         // Worth a lot after its aim: a Gearman job waits for a worker until its client gives up.
         double late = f.number("late_worth", 0, 1, 0.9);
-        Effect effect = f.word("effect", Effect.class, Effect.UNSAFE);
-        Group group = f.word("group", Group.class, Group.CELL);
+        Idempotency effect = f.word("effect", Idempotency.class, Idempotency.NON_IDEMPOTENT);
+        DeduplicationScope group = f.word("group", DeduplicationScope.class, DeduplicationScope.CELL);
         long window = f.whole("window_ms", 0, MAX_MS, 0) * MS;
-        if (effect == Effect.KEYED && window == 0) {
+        if (effect == Idempotency.KEYED && window == 0) {
             throw f.wrong("window_ms", "must be set for a keyed function");
         }
-        Tree most = f.object("max_queue", Map.of());
+        ConfigNode most = f.object("max_queue", Map.of());
         MaxQueue maxQueue = new MaxQueue(
                 (int) most.whole("high", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
                 (int) most.whole("normal", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
@@ -285,24 +285,37 @@
      * What the module of one function is told: its classes by {@link Mode}, run by workers of that kind
      * alone.
      */
-    public Settings settings(String name, Function f) {
+    public DispatchSettings settings(String name, Function f) {
         List<JobClass> classes = f.classes().stream()
                 .map(c -> new JobClass(
                         c.name(),
-                        c.aimNs(),
+                        c.latencyObjectiveNs(),
                         c.deadlineNs(),
                         c.stretch(),
-                        c.worth(),
-                        c.lateWorth(),
-                        c.effect(),
-                        c.group(),
-                        c.windowNs(),
+                        c.priorityWeight(),
+                        c.lateWeight(),
+                        c.idempotency(),
+                        c.deduplicationScope(),
+                        c.idempotencyWindowNs(),
                         name))
                 .toList();
         // Gearman's workers say nothing of their start or load, so there is no cold budget to keep.
-        Rules rules = new Rules(300 * MS, Long.MAX_VALUE, 1, 0, 1, 0, false);
-        return new Settings(
-                classes, limits, rules, Reports.ANSWERS, false, 1, 0, zone, true, 0, crossZonePrice, 0, 0, false);
+        WorkerRules rules = new WorkerRules(300 * MS, Long.MAX_VALUE, 1, 0, 1, 0, false);
+        return new DispatchSettings(
+                classes,
+                limits,
+                rules,
+                LoadReportSource.ANSWERS,
+                false,
+                1,
+                0,
+                zone,
+                true,
+                0,
+                crossZonePrice,
+                0,
+                0,
+                false);
     }
 
     public Place place(String clientId) {
--- a/src/main/java/beechseam/config/JsonSchema.java
+++ b/src/main/java/beechseam/config/JsonSchema.java
@@ -1,6 +1,6 @@
 package beechseam.config;
 
-import beechseam.config.Tree.Asked;
+import beechseam.config.ConfigNode.Asked;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -20,7 +20,7 @@
      * The schema as indented JSON with a line end. {@code sample} has been read and has an object of each
      * kind.
      */
-    public static String of(Tree sample, String title) throws IOException {
+    public static String of(ConfigNode sample, String title) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator g = Json.FACTORY.createGenerator(text)) {
             g.useDefaultPrettyPrinter().writeStartObject();
@@ -32,7 +32,7 @@
         return text + "\n";
     }
 
-    private static void object(JsonGenerator g, Tree of) throws IOException {
+    private static void object(JsonGenerator g, ConfigNode of) throws IOException {
         g.writeStringField("type", "object");
         g.writeBooleanField("additionalProperties", false);
         List<String> required = of.asked().entrySet().stream()
@@ -63,7 +63,7 @@
                 g.writeStringField("pattern", ADDRESS);
             }
             case WHOLE, NUMBER -> {
-                boolean whole = a.kind() == Tree.Kind.WHOLE;
+                boolean whole = a.kind() == ConfigNode.Kind.WHOLE;
                 g.writeStringField("type", whole ? "integer" : "number");
                 bound(g, "minimum", a.least(), whole);
                 bound(g, "maximum", a.most(), whole);
@@ -107,7 +107,7 @@
             if (a.otherwise() instanceof Boolean b) {
                 g.writeBoolean(b);
             } else if (a.otherwise() instanceof Number n) {
-                number(g, n.doubleValue(), a.kind() == Tree.Kind.WHOLE);
+                number(g, n.doubleValue(), a.kind() == ConfigNode.Kind.WHOLE);
             } else {
                 g.writeString(a.otherwise().toString());
             }
--- a/src/main/java/beechseam/config/MemberList.java
+++ b/src/main/java/beechseam/config/MemberList.java
@@ -1,7 +1,7 @@
 package beechseam.config;
 
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.WorkerEndpoint;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -38,7 +38,7 @@
             String zone,
             String kind,
             int cell,
-            State state,
+            EndpointState state,
             double weight,
             long startedMs) {
         /**
@@ -46,8 +46,8 @@
          *
          * @param startedAt when it started on the host's clock, in nanoseconds; 0 for long ago
          */
-        public Worker worker(long target, long startedAt) {
-            return new Worker(target, cell, zone, kind, startedAt, state, weight);
+        public WorkerEndpoint worker(long target, long startedAt) {
+            return new WorkerEndpoint(target, cell, zone, kind, startedAt, state, weight);
         }
     }
 
@@ -58,7 +58,7 @@
      */
     public static MemberList of(Map<?, ?> map, Consumer<String> complaints) throws IOException {
         try {
-            Tree list = new Tree("", map);
+            ConfigNode list = new ConfigNode("", map);
             if (!list.has("version") || !list.has("servers")) { // or any object would be an empty list
                 throw list.wrong(list.has("version") ? "servers" : "version", "is missing");
             }
@@ -66,8 +66,8 @@
             Set<String> unusable = new HashSet<>();
             int left = 0;
             String first = null;
-            List<Tree> rows = list.objects("servers");
-            for (Tree row : rows) {
+            List<ConfigNode> rows = list.objects("servers");
+            for (ConfigNode row : rows) {
                 try {
                     servers.add(server(row));
                 } catch (ConfigException e) {
@@ -88,15 +88,16 @@
     }
 
     /** From a configuration: every fault is named. */
-    public static MemberList of(Tree list) throws ConfigException {
+    public static MemberList of(ConfigNode list) throws ConfigException {
         List<Server> servers = new ArrayList<>();
-        for (Tree row : list.objects("servers")) {
+        for (ConfigNode row : list.objects("servers")) {
             servers.add(server(row));
         }
         return checked(list, servers, Set.of());
     }
 
-    private static MemberList checked(Tree list, List<Server> servers, Set<String> unusable) throws ConfigException {
+    private static MemberList checked(ConfigNode list, List<Server> servers, Set<String> unusable)
+            throws ConfigException {
         boolean full = list.flag("full", true);
         Set<String> ids = new HashSet<>();
         for (Server each : servers) {
@@ -107,15 +108,15 @@
         return new MemberList(list.whole("version", 0, Long.MAX_VALUE, 0), full, servers, unusable);
     }
 
-    private static Server server(Tree row) throws ConfigException {
+    private static Server server(ConfigNode row) throws ConfigException {
         String word = row.text("state", "SERVING");
-        State state = switch (word) {
-            case "SERVING" -> State.READY;
-            case "DRAINING" -> State.DRAINING;
-            case "DELETED" -> State.GONE;
+        EndpointState state = switch (word) {
+            case "SERVING" -> EndpointState.READY;
+            case "DRAINING" -> EndpointState.DRAINING;
+            case "DELETED" -> EndpointState.REMOVED;
             default -> throw row.wrong("state", "must be SERVING, DRAINING or DELETED");
         };
-        boolean gone = state == State.GONE;
+        boolean gone = state == EndpointState.REMOVED;
         return new Server(
                 row.text("id"),
                 row.text("addr", ""),
--- a/src/main/java/beechseam/config/ModuleOptions.java
+++ b/src/main/java/beechseam/config/ModuleOptions.java
@@ -1,13 +1,13 @@
 package beechseam.config;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.Group;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.Limits;
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Reports;
-import beechseam.Dispatching.Rules;
-import beechseam.Dispatching.Settings;
+import beechseam.dispatch.DeduplicationScope;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.JobClass;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.LoadReportSource;
+import beechseam.dispatch.WorkerRules;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
 
 /** The settings object put into the module's terms, and the order in which load reports list their values. */
 public final class ModuleOptions {
-    public final Settings settings;
+    public final DispatchSettings settings;
     /** Whether a client marks its retries, so that what is not marked is a first try. */
     public final boolean marksRetries;
 
@@ -30,7 +30,7 @@
     private final String freeSlotsName;
     private final String freeMemoryName;
 
-    private ModuleOptions(Settings settings, boolean marksRetries, List<?> columns, String x0, String x1) {
+    private ModuleOptions(DispatchSettings settings, boolean marksRetries, List<?> columns, String x0, String x1) {
         this.settings = settings;
         this.marksRetries = marksRetries;
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -69,20 +69,20 @@
                     number(c, "Worth", 1),
                     number(c, "LateWorth", 0),
                     switch (text(c, "Effect", "")) {
-                        case "read_like" -> Effect.SAFE;
-                        case "idempotency_key" -> Effect.KEYED;
-                        default -> Effect.UNSAFE;
+                        case "read_like" -> Idempotency.IDEMPOTENT;
+                        case "idempotency_key" -> Idempotency.KEYED;
+                        default -> Idempotency.NON_IDEMPOTENT;
                     },
                     switch (text(c, "Group", "")) {
-                        case "all" -> Group.ALL;
-                        case "zone" -> Group.ZONE;
-                        default -> Group.CELL;
+                        case "all" -> DeduplicationScope.ALL;
+                        case "zone" -> DeduplicationScope.ZONE;
+                        default -> DeduplicationScope.CELL;
                     },
                     integer(c, "WindowNs", 0),
                     kind >= 0 && kind < kinds.size() ? (String) kinds.get(kind) : null));
         }
         Map<?, ?> l = map(o, "Limits");
-        Limits limits = new Limits(
+        DispatchLimits limits = new DispatchLimits(
                 (int) integer(l, "MaxAttempts", 1),
                 integer(l, "MaxRetryAfterNs", 0),
                 flag(l, "RetryAfter"),
@@ -91,7 +91,7 @@
                 flag(l, "SecondCopies"),
                 integer(l, "IdleCloseNs", 0));
         Map<?, ?> r = map(o, "Rules");
-        Rules rules = new Rules(
+        WorkerRules rules = new WorkerRules(
                 integer(r, "DrainGraceNs", 0),
                 integer(r, "AskWithinNs", Long.MAX_VALUE),
                 number(r, "StartCapacity", 1),
@@ -100,14 +100,14 @@
                 integer(r, "OverloadForNs", 0),
                 flag(r, "FullMayHaveRun"));
         Map<?, ?> info = map(o, "LoadInfo");
-        Reports reports = switch (text(info, "How", "")) {
-            case "piggyback" -> Reports.ANSWERS;
-            case "pull" -> Reports.PROBES;
-            default -> Reports.NONE;
+        LoadReportSource reports = switch (text(info, "How", "")) {
+            case "piggyback" -> LoadReportSource.ANSWERS;
+            case "pull" -> LoadReportSource.HEALTH_CHECKS;
+            default -> LoadReportSource.NONE;
         };
         Map<?, ?> prices = map(o, "Prices");
         return new ModuleOptions(
-                new Settings(
+                new DispatchSettings(
                         List.copyOf(classes),
                         limits,
                         rules,
@@ -144,10 +144,10 @@
     }
 
     /** A report in the module's terms, or null where none came along. */
-    public Load load(double[] gauge, int size) {
+    public LoadReport load(double[] gauge, int size) {
         return size == 0
                 ? null
-                : new Load(
+                : new LoadReport(
                         at(gauge, size, held),
                         at(gauge, size, waiting),
                         at(gauge, size, freeSlots),
@@ -156,8 +156,8 @@
     }
 
     /** The same for a report that names its values; the platform's sockets use the short names. */
-    public Load load(ToDoubleFunction<String> named) {
-        return new Load(
+    public LoadReport load(ToDoubleFunction<String> named) {
+        return new LoadReport(
                 named(named, held, "inflight", "outstanding"),
                 named(named, waiting, "queue", "backlog"),
                 named(named, freeSlots, freeSlotsName, freeSlotsName),
--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -56,7 +56,7 @@
         if (!again || values.get("discovery") == null) {
             put(values, "discovery", environment.get("PROXY_DISCOVERY"));
         }
-        return of(new Tree("", values));
+        return of(new ConfigNode("", values));
     }
 
     private static void put(Map<Object, Object> values, String key, String value) {
@@ -66,7 +66,7 @@
     }
 
     /** A file with one JSON object. */
-    public static Tree read(String file) throws ConfigException {
+    public static ConfigNode read(String file) throws ConfigException {
         byte[] text;
         try {
             text = Files.readAllBytes(Path.of(file));
@@ -75,7 +75,7 @@
         }
         try {
             if (Json.parse(text, 0, text.length) instanceof Map<?, ?> map) {
-                return new Tree("", map);
+                return new ConfigNode("", map);
             }
         } catch (IOException e) {
             throw new ConfigException(
@@ -84,11 +84,11 @@
         throw new ConfigException(file, "must hold one object");
     }
 
-    public static NodeConfig of(Tree c) throws ConfigException {
-        Tree settings = c.object("settings");
+    public static NodeConfig of(ConfigNode c) throws ConfigException {
+        ConfigNode settings = c.object("settings");
         check(settings);
-        Tree limits = c.object("limits", Map.of());
-        Tree bounds = settings.object("Limits", Map.of());
+        ConfigNode limits = c.object("limits", Map.of());
+        ConfigNode bounds = settings.object("Limits", Map.of());
         limits.mayHave("cores", "memory_mb"); // for the platform to hold us to
         c.mayHave("seed", "console", "state_dir");
         NodeConfig config = new NodeConfig(
@@ -112,7 +112,7 @@
      * The platform writes this file and may add to it, so a key of its own is only told of; one that is a
      * letter or two from one of ours was meant for us, and would be passed over for ever.
      */
-    private static void others(Tree c) throws ConfigException {
+    private static void others(ConfigNode c) throws ConfigException {
         for (Map.Entry<String, String> each : c.others().entrySet()) {
             if (each.getValue() != null) {
                 throw c.unknown(each.getKey(), each.getValue());
@@ -126,7 +126,7 @@
         return listen.getAddress().getHostAddress().replace(':', '-') + "-" + listen.getPort();
     }
 
-    private static long seed(Tree c) throws ConfigException {
+    private static long seed(ConfigNode c) throws ConfigException {
         if (c.values().get("seed") instanceof Number n) {
             return n.longValue();
         }
@@ -138,11 +138,11 @@
     }
 
     /** What the module cannot do without, or would take for something else. */
-    private static void check(Tree settings) throws ConfigException {
+    private static void check(ConfigNode settings) throws ConfigException {
         if (settings.objects("Classes").isEmpty()) {
             throw settings.wrong("Classes", "must name at least one class");
         }
-        for (Tree each : settings.objects("Classes")) {
+        for (ConfigNode each : settings.objects("Classes")) {
             each.text("Name");
             each.whole("AimNs", 0, Long.MAX_VALUE, 0);
             each.whole("DeadlineNs", 0, Long.MAX_VALUE, 0);
@@ -150,14 +150,14 @@
             each.number("Worth", 0, 1e12, 1);
             each.text("Effect", "");
         }
-        Tree limits = settings.object("Limits", Map.of());
+        ConfigNode limits = settings.object("Limits", Map.of());
         limits.whole("MaxAttempts", 1, 1000, 1);
         limits.whole("IdleCloseNs", 0, Long.MAX_VALUE, 0);
-        Tree rules = settings.object("Rules", Map.of());
+        ConfigNode rules = settings.object("Rules", Map.of());
         rules.whole("DrainGraceNs", 0, Long.MAX_VALUE, 0);
         rules.number("StartCapacity", 0, 1, 1);
         rules.number("OverloadFactor", 0, 1e6, 1);
-        Tree family = settings.object("Specifics", Map.of());
+        ConfigNode family = settings.object("Specifics", Map.of());
         family.numbers("ClassKind");
         family.numbers("ClassStretch");
         settings.whole("GroupSize", 1, 1_000_000, 1);
--- a/src/main/java/beechseam/conformance/Peer.java
+++ b/src/main/java/beechseam/conformance/Peer.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    protected long mostWaiting() {
+    protected long maxUnwrittenBytes() {
         return 1L << 30;
     }
 
--- a/src/main/java/beechseam/core/Attempt.java
+++ b/src/main/java/beechseam/core/Attempt.java
@@ -6,13 +6,13 @@
     public final int number;
     public final long target;
     /** What the egress keeps of it. */
-    public Object carrier;
+    public Object exchange;
 
     final Timer timeout;
-    boolean over;
+    boolean ended;
     boolean begun;
-    boolean heardOf;
-    private boolean lingers;
+    boolean acknowledged;
+    private boolean awaitsConfirmation;
     /** It waits for the send gate; the egress does not hold it. */
     boolean deferred;
 
@@ -23,7 +23,7 @@
         this.timeout = timeout;
     }
 
-    /** Its first byte goes out: from here on it may run. See {@link Engine#begins}, which asks first. */
+    /** Its first byte goes out: from here on it may run. See {@link Engine#tryBegin}, which asks first. */
     public void begun() {
         begun = true;
     }
@@ -33,21 +33,21 @@
      * cannot tell two attempts of one request at one target apart sets it with the first byte, and takes it
      * back where the end proves that nothing more can come of it.
      */
-    public void lingers(boolean itDoes) {
-        lingers = itDoes;
+    public void awaitsConfirmation(boolean itDoes) {
+        awaitsConfirmation = itDoes;
     }
 
-    boolean lingers() {
-        return lingers;
+    boolean awaitsConfirmation() {
+        return awaitsConfirmation;
     }
 
     /** Whether its target has told anything of it. */
-    public boolean heardOf() {
-        return heardOf;
+    public boolean acknowledged() {
+        return acknowledged;
     }
 
     /** Ended or given up: whatever comes of it now is too late. */
-    public boolean over() {
-        return over;
+    public boolean hasEnded() {
+        return ended;
     }
 }
--- a/src/main/java/beechseam/core/Counters.java
+++ b/src/main/java/beechseam/core/Counters.java
@@ -1,6 +1,6 @@
 package beechseam.core;
 
-import beechseam.Dispatching.Outcome;
+import beechseam.dispatch.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.ToLongFunction;
@@ -8,7 +8,7 @@
 /** What the node has taken in, sent and answered since its start. */
 public final class Counters {
     /** Of the jobs of one class; the sums over all are made of these. */
-    public static final class OfClass {
+    public static final class ClassCounters {
         long served;
         long shed;
         long failed;
@@ -30,13 +30,13 @@
         }
     }
 
-    private final List<OfClass> classes = new ArrayList<>();
-    public long taken;
+    private final List<ClassCounters> classes = new ArrayList<>();
+    public long requestsAccepted;
     /** Attempts that the module has decided on. */
-    public long sent;
+    public long attemptsSent;
 
-    public long left;
-    public long probes;
+    public long clientsDisconnected;
+    public long healthChecks;
     public long lateCallbacks;
     public long badInput;
     public long withheld;
@@ -48,14 +48,14 @@
     public long confInvalid;
     private final long[] ended = new long[Outcome.values().length];
 
-    public OfClass of(int jobClass) {
+    public ClassCounters of(int jobClass) {
         while (classes.size() <= jobClass) {
-            classes.add(new OfClass());
+            classes.add(new ClassCounters());
         }
         return classes.get(jobClass);
     }
 
-    private long sum(ToLongFunction<OfClass> figure) {
+    private long sum(ToLongFunction<ClassCounters> figure) {
         return classes.stream().mapToLong(figure).sum();
     }
 
@@ -77,24 +77,24 @@
 
     /** Jobs taken and not yet ended, whatever attempts they still have out. */
     public long current() {
-        return taken - served() - shed() - failed() - left;
+        return requestsAccepted - served() - shed() - failed() - clientsDisconnected;
     }
 
     /** Counts all that another has counted as well, class by class. */
     public void add(Counters other) {
         for (int i = 0; i < other.classes.size(); i++) {
-            OfClass to = of(i);
-            OfClass from = other.classes.get(i);
+            ClassCounters to = of(i);
+            ClassCounters from = other.classes.get(i);
             to.served += from.served;
             to.shed += from.shed;
             to.failed += from.failed;
             to.crowdedOut += from.crowdedOut;
             to.written += from.written;
         }
-        taken += other.taken;
-        sent += other.sent;
-        left += other.left;
-        probes += other.probes;
+        requestsAccepted += other.requestsAccepted;
+        attemptsSent += other.attemptsSent;
+        clientsDisconnected += other.clientsDisconnected;
+        healthChecks += other.healthChecks;
         lateCallbacks += other.lateCallbacks;
         badInput += other.badInput;
         withheld += other.withheld;
@@ -123,9 +123,9 @@
     @Override
     public String toString() {
         StringBuilder s = new StringBuilder("{\"taken\":")
-                .append(taken)
+                .append(requestsAccepted)
                 .append(",\"sent\":")
-                .append(sent)
+                .append(attemptsSent)
                 .append(",\"answered\":")
                 .append(served() + shed() + failed())
                 .append(",\"written\":")
@@ -137,9 +137,9 @@
                 .append(",\"failed\":")
                 .append(failed())
                 .append(",\"left\":")
-                .append(left)
+                .append(clientsDisconnected)
                 .append(",\"probes\":")
-                .append(probes)
+                .append(healthChecks)
                 .append(",\"late_callbacks\":")
                 .append(lateCallbacks)
                 .append(",\"bad_input\":")
@@ -155,7 +155,7 @@
                 .append(",\"hops\":{");
         for (Outcome o : Outcome.values()) {
             s.append(o.ordinal() == 0 ? "\"" : ",\"")
-                    .append(o.name().toLowerCase(java.util.Locale.ROOT))
+                    .append(o.counterName())
                     .append("\":")
                     .append(ended[o.ordinal()]);
         }
--- a/src/main/java/beechseam/core/DeferredWork.java
+++ b/src/main/java/beechseam/core/DeferredWork.java
@@ -1,6 +1,6 @@
 package beechseam.core;
 
-import beechseam.Dispatching.Job;
+import beechseam.dispatch.Job;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -49,7 +49,7 @@
         probes.clear();
         for (Attempt each : dueAttempts) {
             each.deferred = false;
-            if (!each.over) {
+            if (!each.ended) {
                 toEgress.accept(each);
             }
         }
--- a/src/main/java/beechseam/core/Egress.java
+++ b/src/main/java/beechseam/core/Egress.java
@@ -1,7 +1,7 @@
 package beechseam.core;
 
 /**
- * The way to the egress targets. Every attempt handed over is reported once to {@link Engine#ended}, also one
+ * The way to the egress targets. Every attempt handed over is reported once to {@link Engine#attemptEnded}, also one
  * that fails at once, but for those cancelled.
  */
 public interface Egress {
@@ -13,13 +13,13 @@
     /**
      * Takes back an attempt whose request goes on, and may have but one attempt out. True: it is given up as
      * by {@link #cancel}. False: its end, CANCELLED or what it came to meanwhile, is still owed to
-     * {@link Engine#ended}, so that no other is sent while the target may hold this one.
+     * {@link Engine#attemptEnded}, so that no other is sent while the target may hold this one.
      */
-    default boolean takeBack(Attempt attempt) {
+    default boolean recall(Attempt attempt) {
         cancel(attempt);
         return true;
     }
 
-    /** Ask the target for its load; {@link Engine#probed} is owed once. */
-    void probe(long target);
+    /** Ask the target for its load; {@link Engine#healthCheckCompleted} is owed once. */
+    void healthCheck(long target);
 }
--- a/src/main/java/beechseam/core/Engine.java
+++ b/src/main/java/beechseam/core/Engine.java
@@ -1,14 +1,15 @@
 package beechseam.core;
 
-import beechseam.Dispatcher;
-import beechseam.Dispatching.Actions;
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.Limits;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Outcome;
-import beechseam.Dispatching.Settings;
-import beechseam.Dispatching.Worker;
+import beechseam.dispatch.DispatchActions;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.Dispatcher;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.Job;
+import beechseam.dispatch.LearnedState;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.Outcome;
+import beechseam.dispatch.WorkerEndpoint;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
@@ -27,7 +28,7 @@
     public static final long ANSWER_MARGIN_NS = 25_000_000L;
 
     /** A process may be held up for so long between reading its clock and writing. */
-    private static final long HELD_UP_NS = 150_000_000L;
+    private static final long MAX_STALL_NS = 150_000_000L;
 
     private final LongSupplier clock;
     private final Timers timers;
@@ -40,13 +41,14 @@
     // The module is never entered while it acts: what its actions bring about at once waits here.
     private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     private final DeferredWork waiting = new DeferredWork();
-    private final Limits limits;
+    private final DispatchLimits limits;
     private SendGate gate = SendGate.ALWAYS_OPEN;
     private boolean inside;
     private long lastId;
     private long lastAnswerAt = Long.MAX_VALUE;
 
-    public Engine(Settings settings, long seed, LongSupplier clock, Timers timers, Egress egress, Counters counters) {
+    public Engine(
+            DispatchSettings settings, long seed, LongSupplier clock, Timers timers, Egress egress, Counters counters) {
         this.clock = clock;
         this.timers = timers;
         this.egress = egress;
@@ -54,7 +56,7 @@
         limits = settings.limits();
         trace("settings", settings);
         inside = true; // the module may act from its constructor on
-        module = new Dispatcher(now(), settings, seed, new Doing());
+        module = new Dispatcher(now(), settings, seed, new EngineActions());
         inside = false;
     }
 
@@ -73,7 +75,7 @@
         }
     }
 
-    public RouteTable routes() {
+    public RouteTable routeTable() {
         return routes;
     }
 
@@ -82,19 +84,19 @@
     }
 
     /** Listed targets that get nothing new, or that the module doubts. */
-    public long avoided() {
+    public long unavailableTargets() {
         return routes.ids().stream()
-                .filter(id -> !routes.serving(id) || module.avoids(now(), id))
+                .filter(id -> !routes.acceptsNewWork(id) || module.isEjected(now(), id))
                 .count();
     }
 
     /** Requests that owe an answer or still have an attempt out. */
-    public int open() {
+    public int openRequests() {
         return byId.size();
     }
 
     /** The open request of that name, or null. */
-    public Request find(String correlation) {
+    public Request findRequest(String correlation) {
         return byCorrelation.get(correlation);
     }
 
@@ -121,7 +123,7 @@
     // ---- From fronts
 
     /** Takes a request; null when one of that name is still open. Its ingress may be called at once. */
-    public Request take(
+    public Request submit(
             String correlation,
             int jobClass,
             long budgetNs,
@@ -129,11 +131,11 @@
             double memory,
             Object message,
             Ingress ingress) {
-        return take(correlation, new Job(0, jobClass, budgetNs, 0, slots, memory), message, ingress);
+        return submit(correlation, new Job(0, jobClass, budgetNs, 0, slots, memory), message, ingress);
     }
 
     /** The same for a front that knows more of the job; its id is given here. */
-    public Request take(String correlation, Job job, Object message, Ingress ingress) {
+    public Request submit(String correlation, Job job, Object message, Ingress ingress) {
         long budgetNs = job.budgetNs();
         if (byCorrelation.containsKey(correlation)) {
             return null;
@@ -141,7 +143,7 @@
         Request r = new Request(++lastId, correlation, job.jobClass(), now() + budgetNs, message, ingress);
         byId.put(r.id, r);
         byCorrelation.put(correlation, r);
-        counters.taken++;
+        counters.requestsAccepted++;
         // With little time in hand half of it is kept for the answer's way.
         long due = r.deadlineAt - Math.min(ANSWER_MARGIN_NS, budgetNs / 2);
         boolean cut = lastAnswerAt < due;
@@ -152,7 +154,7 @@
             }
         };
         timers.set(r.deadline, Math.min(due, lastAnswerAt));
-        trace("take", r.id, job.jobClass(), budgetNs, job.firstTry());
+        trace("take", r.id, job.jobClass(), budgetNs, job.firstAttempt());
         if (gate.open()) {
             offer(r, job, budgetNs);
         } else {
@@ -162,26 +164,27 @@
     }
 
     private void offer(Request r, Job job, long budgetNs) {
-        tell(() -> module.job(
+        tell(() -> module.jobArrived(
                 now(),
-                new Job(r.id, job.jobClass(), budgetNs, job.workNs(), job.slots(), job.memory(), job.firstTry())));
+                new Job(r.id, job.jobClass(), budgetNs, job.workNs(), job.slots(), job.memory(), job.firstAttempt())));
     }
 
     /** Where the route table is not always current: who knows whether it is. */
-    public void gate(SendGate theGate) {
+    public void useSendGate(SendGate theGate) {
         gate = theGate;
     }
 
     /** The gate has opened: what waited for it goes on, unless it has closed again meanwhile. */
-    public void resume() {
+    public void resumeDeferred() {
         if (!waiting.isEmpty() && gate.open()) {
-            tell(() -> waiting.release((r, job) -> offer(r, job, r.deadlineAt - now()), this::sendOn, egress::probe));
+            tell(() -> waiting.release(
+                    (r, job) -> offer(r, job, r.deadlineAt - now()), this::sendOn, egress::healthCheck));
         }
     }
 
     /** An attempt that waited: its target may be listed otherwise by now. */
     private void sendOn(Attempt attempt) {
-        if (routes.serving(attempt.target)) {
+        if (routes.acceptsNewWork(attempt.target)) {
             egress.send(attempt);
         } else {
             withhold(attempt, true);
@@ -192,17 +195,17 @@
      * The process ends: whatever is taken from now on is answered by then, whatever time its client gives.
      * The module is not told, since to it a short budget may mean a client's retry.
      */
-    public void lastAnswer(long at) {
+    public void answerAllBy(long at) {
         lastAnswerAt = at;
     }
 
     /** The client has gone: nobody waits for an answer. */
-    public void left(Request r) {
+    public void clientDisconnected(Request r) {
         tell(() -> {
             if (!r.finished) {
-                counters.left++;
+                counters.clientsDisconnected++;
                 finish(r);
-                module.left(now(), r.id);
+                module.clientDisconnected(now(), r.id);
                 forget(r);
             }
         });
@@ -210,7 +213,7 @@
 
     private void expire(Request r, boolean cut) {
         for (Attempt attempt : List.copyOf(r.attempts)) {
-            if (!attempt.over && !cut) { // told of a cut attempt's end the module would send another
+            if (!attempt.ended && !cut) { // told of a cut attempt's end the module would send another
                 withdraw(attempt);
                 end(attempt, attempt.begun ? Outcome.TIMEOUT : Outcome.NOT_SENT, null, null);
             }
@@ -219,22 +222,22 @@
             return;
         }
         if (r.deferred) {
-            shed(r, limits.retryAfter() ? Math.min(gate.opensWithinNs(), limits.maxRetryAfterNs()) : 0);
+            shedRequest(r, limits.retryAfter() ? Math.min(gate.opensWithinNs(), limits.maxRetryAfterNs()) : 0);
             return;
         }
         // The module would still wait, but the client does not.
         if (r.attempts.stream().noneMatch(attempt -> attempt.begun)) {
-            shed(r, limits.retryAfter() ? limits.maxRetryAfterNs() : 0); // harmless: nothing was ever sent
+            shedRequest(r, limits.retryAfter() ? limits.maxRetryAfterNs() : 0); // harmless: nothing was ever sent
         } else {
             counters.of(r.jobClass).failed++;
             finish(r);
             r.ingress.failed(r, cut ? "the node is stopping" : "no answer in time");
         }
-        module.left(now(), r.id);
+        module.clientDisconnected(now(), r.id);
         forget(r);
     }
 
-    private void shed(Request r, long pauseNs) {
+    private void shedRequest(Request r, long pauseNs) {
         counters.of(r.jobClass).shed++;
         trace("shed", r.id, pauseNs);
         finish(r);
@@ -255,7 +258,7 @@
     }
 
     private void forget(Request r) {
-        if (r.finished && r.out == 0) {
+        if (r.finished && r.attemptsInFlight == 0) {
             byId.remove(r.id);
             byCorrelation.remove(r.correlation);
         }
@@ -269,17 +272,17 @@
      * which the request may be repeated is over. False where it must not go any more, and its end is then
      * told, or where the gate is closed, and it is then given to the egress once more.
      */
-    public boolean begins(Attempt attempt) {
+    public boolean tryBegin(Attempt attempt) {
         Request r = attempt.request;
-        if (attempt.over) {
+        if (attempt.ended) {
             return false;
         }
         if (!gate.open()) {
             waiting.add(attempt);
             return false;
         }
-        boolean wanted = !r.finished && r.ingress.waits(r) && !r.finished && !attempt.over;
-        if (wanted && routes.serving(attempt.target) && now() < repeatsEnd(attempt)) {
+        boolean wanted = !r.finished && r.ingress.isClientConnected(r) && !r.finished && !attempt.ended;
+        if (wanted && routes.acceptsNewWork(attempt.target) && now() < repeatsEnd(attempt)) {
             attempt.begun();
             return true;
         }
@@ -288,7 +291,7 @@
     }
 
     private long repeatsEnd(Attempt attempt) {
-        return module.repeatsEnd(attempt.request.id, attempt.number) - HELD_UP_NS;
+        return module.retryDeadline(attempt.request.id, attempt.number) - MAX_STALL_NS;
     }
 
     /** It ends with nothing sent; {@code wanted}: its client still waits. */
@@ -298,21 +301,21 @@
         tell(() -> end(attempt, Outcome.NOT_SENT, null, null));
     }
 
-    public void started(Attempt attempt) {
+    public void attemptStarted(Attempt attempt) {
         tell(() -> {
-            attempt.heardOf = true;
-            if (!attempt.over) {
+            attempt.acknowledged = true;
+            if (!attempt.ended) {
                 trace("start", attempt.request.id, attempt.number, attempt.target);
-                module.started(now(), attempt.request.id, attempt.number);
+                module.attemptStarted(now(), attempt.request.id, attempt.number);
             }
         });
     }
 
-    public void progress(Attempt attempt, double share) {
+    public void attemptProgressed(Attempt attempt, double share) {
         tell(() -> {
-            attempt.heardOf = true;
-            if (!attempt.over) {
-                module.progress(now(), attempt.request.id, attempt.number, share);
+            attempt.acknowledged = true;
+            if (!attempt.ended) {
+                module.attemptProgressed(now(), attempt.request.id, attempt.number, share);
             }
         });
     }
@@ -321,17 +324,17 @@
      * An attempt's end; the first that served answers the client. Ends of attempts that are over are passed
      * over.
      */
-    public void ended(Attempt attempt, Outcome outcome, byte[] result, Load load) {
+    public void attemptEnded(Attempt attempt, Outcome outcome, byte[] result, LoadReport load) {
         tell(() -> end(attempt, outcome, result, load));
     }
 
-    private void end(Attempt attempt, Outcome outcome, byte[] result, Load load) {
-        if (attempt.over) {
+    private void end(Attempt attempt, Outcome outcome, byte[] result, LoadReport load) {
+        if (attempt.ended) {
             return;
         }
         Request r = attempt.request;
-        attempt.over = true;
-        r.out--;
+        attempt.ended = true;
+        r.attemptsInFlight--;
         counters.count(outcome);
         trace("end", r.id, attempt.number, attempt.target, outcome, load);
         if (attempt.timeout != null) {
@@ -342,50 +345,50 @@
             finish(r);
             r.ingress.served(r, result);
         }
-        if (attempt.lingers()) {
+        if (attempt.awaitsConfirmation()) {
             module.barWorker(now(), r.id, attempt.number);
         }
-        module.ended(now(), r.id, attempt.number, outcome, r.finished, load);
+        module.attemptEnded(now(), r.id, attempt.number, outcome, r.finished, load);
         forget(r);
     }
 
-    public void probed(long target, boolean answered, Load load) {
+    public void healthCheckCompleted(long target, boolean answered, LoadReport load) {
         trace("probed", target, answered, load);
-        tell(() -> module.probed(now(), target, answered, load));
+        tell(() -> module.healthCheckCompleted(now(), target, answered, load));
     }
 
     // ---- From discovery
 
-    public void routes(ListForm form, List<Worker> lines) {
+    public void updateEndpoints(EndpointUpdate form, List<WorkerEndpoint> lines) {
         // At once, not deferred: an attempt about to be written must see the newest table.
-        List<Worker> shown = routes.apply(form, lines);
+        List<WorkerEndpoint> shown = routes.apply(form, lines);
         trace("list", form, now(), shown);
-        tell(() -> module.list(now(), form, shown));
+        tell(() -> module.endpointsUpdated(now(), form, shown));
     }
 
     /** An operator leaves a target out, or puts it back as of a time; it holds when this returns. */
-    public void maintain(long target, boolean leaveOut, long backAt) {
-        Worker row = routes.maintain(target, leaveOut, backAt);
+    public void setMaintenance(long target, boolean leaveOut, long backAt) {
+        WorkerEndpoint row = routes.setMaintenance(target, leaveOut, backAt);
         if (row != null) {
-            tell(() -> module.list(now(), ListForm.CHANGES, List.of(row)));
+            tell(() -> module.endpointsUpdated(now(), EndpointUpdate.DELTA, List.of(row)));
         }
     }
 
     // ---- Between the processes of one node
 
     /** What the module has learned, by what it is of; it no longer warms cold targets for a while. */
-    public Map<String, double[]> handOver() {
-        return module.handOver(now());
+    public LearnedState exportLearnedState() {
+        return module.exportLearnedState(now());
     }
 
     /** Takes over what the module of an older process had learned. */
-    public void recall(Map<String, double[]> learned) {
-        tell(() -> module.recall(now(), learned));
+    public void importLearnedState(LearnedState learned) {
+        tell(() -> module.importLearnedState(now(), learned));
     }
 
     // ---- What the module decides
 
-    private final class Doing implements Actions {
+    private final class EngineActions implements DispatchActions {
         @Override
         public void send(long job, long worker, long timeoutNs) {
             Request r = byId.get(job);
@@ -403,8 +406,8 @@
                     };
             Attempt attempt = new Attempt(r, r.attempts.size(), worker, timeout);
             r.attempts.add(attempt);
-            r.out++;
-            counters.sent++;
+            r.attemptsInFlight++;
+            counters.attemptsSent++;
             trace("send", job, attempt.number, worker);
             if (timeout != null) {
                 timers.set(timeout, now() + timeoutNs);
@@ -419,23 +422,23 @@
         @Override
         public void cancel(long job, int number) {
             Request r = byId.get(job);
-            if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).over) {
+            if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).ended) {
                 return;
             }
             Attempt attempt = r.attempts.get(number);
-            if (r.finished || attempt.deferred || limits.copies()) {
+            if (r.finished || attempt.deferred || limits.hedging()) {
                 withdraw(attempt);
-            } else if (!egress.takeBack(attempt)) {
+            } else if (!egress.recall(attempt)) {
                 return;
             }
             tell(() -> end(attempt, Outcome.CANCELLED, null, null));
         }
 
         @Override
-        public void refuse(long job, long pauseNs) {
+        public void shed(long job, long retryAfterNs) {
             Request r = byId.get(job);
             if (r != null && !r.finished) {
-                shed(r, pauseNs);
+                shedRequest(r, retryAfterNs);
             }
         }
 
@@ -452,30 +455,30 @@
         }
 
         @Override
-        public void probe(long worker) {
-            counters.probes++;
+        public void healthCheck(long worker) {
+            counters.healthChecks++;
             trace("probe", worker);
             if (gate.open()) {
-                egress.probe(worker);
+                egress.healthCheck(worker);
             } else {
                 waiting.add(worker);
             }
         }
 
         @Override
-        public void wakeIn(long offsetNs, long tag) {
+        public void scheduleTimer(long offsetNs, long tag) {
             timers.set(
                     new Timer() {
                         @Override
                         protected void fire() {
-                            tell(() -> module.wake(now(), tag));
+                            tell(() -> module.timerFired(now(), tag));
                         }
                     },
                     now() + offsetNs);
         }
 
         @Override
-        public void watchList() {
+        public void watchEndpoints() {
             // A node watches discovery all the time, asked or not.
         }
 
@@ -487,7 +490,7 @@
 
     private void timeOut(Request r, Attempt attempt) {
         tell(() -> {
-            if (attempt != null && !attempt.over) {
+            if (attempt != null && !attempt.ended) {
                 withdraw(attempt);
                 end(attempt, attempt.begun ? Outcome.TIMEOUT : Outcome.NOT_SENT, null, null);
             }
--- a/src/main/java/beechseam/core/Ingress.java
+++ b/src/main/java/beechseam/core/Ingress.java
@@ -14,9 +14,9 @@
     /**
      * Whether the client still waits, as far as can be told at this instant: asked before an attempt's first
      * byte, since a client may have gone unnoticed in the turn in which the attempt is sent. One that has
-     * gone may be told to {@link Engine#left} within the call.
+     * gone may be told to {@link Engine#clientDisconnected} within the call.
      */
-    default boolean waits(Request request) {
+    default boolean isClientConnected(Request request) {
         return true;
     }
 }
--- a/src/main/java/beechseam/core/Request.java
+++ b/src/main/java/beechseam/core/Request.java
@@ -18,7 +18,7 @@
     final long id;
     final List<Attempt> attempts = new ArrayList<>(2);
     Timer deadline;
-    int out;
+    int attemptsInFlight;
     boolean finished;
     /** It waits for the send gate, and the module does not know of it. */
     boolean deferred;
@@ -40,7 +40,7 @@
     public Attempt attemptAt(long target) {
         for (int i = attempts.size() - 1; i >= 0; i--) {
             Attempt attempt = attempts.get(i);
-            if (attempt.target == target && !attempt.over) {
+            if (attempt.target == target && !attempt.ended) {
                 return attempt;
             }
         }
--- a/src/main/java/beechseam/core/RouteTable.java
+++ b/src/main/java/beechseam/core/RouteTable.java
@@ -1,8 +1,8 @@
 package beechseam.core;
 
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.WorkerEndpoint;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -10,71 +10,76 @@
 import java.util.Set;
 
 /**
- * The egress targets as the node was last told of them, and over that what operators have said: one left out
- * is shown as draining whatever discovery lists. One put back is shown as started then, or later where it
- * was: it may have restarted without news of it yet, and it has warmed by no use.
+ * The egress targets as discovery last listed them, and over that the maintenance that operators have set. A
+ * target in
+ * maintenance is shown as draining whatever discovery lists. One that has returned is shown as started at
+ * its return, or
+ * later where discovery says so: it may have restarted before discovery tells, and it warms up by use.
  */
 public final class RouteTable {
-    private final Map<Long, Worker> rows = new HashMap<>();
-    private final Set<Long> out = new HashSet<>();
-    private final Map<Long, Long> back = new HashMap<>();
+    private final Map<Long, WorkerEndpoint> entries = new HashMap<>();
+    private final Set<Long> inMaintenance = new HashSet<>();
+    private final Map<Long, Long> returnedAt = new HashMap<>();
 
-    /** Takes in a list: a full one removes what it lacks. Gives the lines as they are shown. */
-    List<Worker> apply(ListForm form, List<Worker> lines) {
-        if (form == ListForm.FULL || form == ListForm.CACHED) {
+    /** Takes in a list: a full one removes what it lacks. Gives the changes as they are shown. */
+    List<WorkerEndpoint> apply(EndpointUpdate form, List<WorkerEndpoint> changes) {
+        if (form == EndpointUpdate.SNAPSHOT || form == EndpointUpdate.CACHED) {
             Set<Long> named = new HashSet<>();
-            lines.forEach(line -> named.add(line.id()));
-            rows.keySet().retainAll(named);
+            changes.forEach(change -> named.add(change.id()));
+            entries.keySet().retainAll(named);
         }
-        for (Worker line : lines) {
-            if (line.state() == State.GONE) {
-                rows.remove(line.id());
+        for (WorkerEndpoint change : changes) {
+            if (change.state() == EndpointState.REMOVED) {
+                entries.remove(change.id());
             } else {
-                rows.put(line.id(), line);
+                entries.put(change.id(), change);
             }
         }
-        return lines.stream().map(this::shown).toList();
+        return changes.stream().map(this::shown).toList();
     }
 
-    /** An operator's word on a target, listed or not; its row as shown from now on, or null. */
-    Worker maintain(long target, boolean leaveOut, long backAt) {
+    /** An operator's word on a target, listed or not; its entry as shown from now on, or null. */
+    WorkerEndpoint setMaintenance(long target, boolean leaveOut, long backAt) {
         if (leaveOut) {
-            out.add(target);
-            back.remove(target);
+            inMaintenance.add(target);
+            returnedAt.remove(target);
         } else {
-            out.remove(target);
-            back.put(target, backAt);
+            inMaintenance.remove(target);
+            returnedAt.put(target, backAt);
         }
-        Worker row = rows.get(target);
-        return row == null ? null : shown(row);
+        WorkerEndpoint entry = entries.get(target);
+        return entry == null ? null : shown(entry);
     }
 
-    private Worker shown(Worker row) {
-        State state = row.state() == State.READY && out.contains(row.id()) ? State.DRAINING : row.state();
-        long born = Math.max(row.bornNs(), back.getOrDefault(row.id(), 0L));
-        return new Worker(row.id(), row.cell(), row.zone(), row.kind(), born, state, row.weight());
+    private WorkerEndpoint shown(WorkerEndpoint entry) {
+        EndpointState state = entry.state() == EndpointState.READY && inMaintenance.contains(entry.id())
+                ? EndpointState.DRAINING
+                : entry.state();
+        long startedNs = Math.max(entry.startedNs(), returnedAt.getOrDefault(entry.id(), 0L));
+        return new WorkerEndpoint(
+                entry.id(), entry.cell(), entry.zone(), entry.kind(), startedNs, state, entry.weight());
     }
 
     /** Whether new work may still go there: asked again just before an attempt's first byte. */
-    public boolean serving(long target) {
-        Worker row = rows.get(target);
-        return row != null && row.state() == State.READY && !out.contains(target);
+    public boolean acceptsNewWork(long target) {
+        WorkerEndpoint entry = entries.get(target);
+        return entry != null && entry.state() == EndpointState.READY && !inMaintenance.contains(target);
     }
 
-    public boolean knows(long target) {
-        return rows.containsKey(target);
+    public boolean contains(long target) {
+        return entries.containsKey(target);
     }
 
-    /** The row as discovery last listed it, or null. */
-    public Worker listed(long target) {
-        return rows.get(target);
+    /** The entry as discovery last listed it, or null. */
+    public WorkerEndpoint listed(long target) {
+        return entries.get(target);
     }
 
     Set<Long> ids() {
-        return rows.keySet();
+        return entries.keySet();
     }
 
     public int size() {
-        return rows.size();
+        return entries.size();
     }
 }
--- a/src/main/java/beechseam/core/SendGate.java
+++ b/src/main/java/beechseam/core/SendGate.java
@@ -2,7 +2,7 @@
 
 /**
  * Whether the route table may be acted on. The engine asks before it offers a request to the module and
- * before an attempt's first byte; what may not go yet waits until {@link Engine#resume}.
+ * before an attempt's first byte; what may not go yet waits until {@link Engine#resumeDeferred}.
  */
 public interface SendGate {
     /** For hosts whose route table is always current. */
--- a/src/main/java/beechseam/ClassRunTimes.java
+++ b/src/main/java/beechseam/dispatch/ClassRunTimes.java
@@ -1,7 +1,4 @@
-package beechseam;
-
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.JobClass;
+package beechseam.dispatch;
 
 /** Run times of a class of jobs, by which a job's own is expected, and what its worth weighs. */
 final class ClassRunTimes {
@@ -31,7 +28,7 @@
     ClassRunTimes(JobClass of, boolean worthByWork) {
         this.of = of;
         this.worthByWork = worthByWork;
-        meanRunNs = Math.max(of.aimNs(), 1);
+        meanRunNs = Math.max(of.latencyObjectiveNs(), 1);
         logRun = Math.log(meanRunNs);
     }
 
@@ -48,17 +45,17 @@
 
     /** Worth of a unit of work. */
     double density() {
-        return worthByWork ? of.worth() : of.worth() / (meanRunNs * meanNeed);
+        return worthByWork ? of.priorityWeight() : of.priorityWeight() / (meanRunNs * meanNeed);
     }
 
     /** What being late loses of the worth, inverted: where it loses less, queues may be longer. */
     double patience() {
-        return 1 / Math.max(0.1, 1 - of.lateWorth());
+        return 1 / Math.max(0.1, 1 - of.lateWeight());
     }
 
     /** How long a usual job may wait, in nanoseconds. */
     double slackNs() {
-        return of.aimNs() + Math.max(0, of.stretch() - 1) * Math.exp(logRun);
+        return of.latencyObjectiveNs() + Math.max(0, of.stretch() - 1) * Math.exp(logRun);
     }
 
     /** A run has ended; {@code log} is the logarithm of its time at mean speed. */
--- a/src/main/java/beechseam/Dispatcher.java
+++ b/src/main/java/beechseam/dispatch/Dispatcher.java
@@ -1,6 +1,5 @@
-package beechseam;
+package beechseam.dispatch;
 
-import beechseam.Dispatching.*;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,12 +10,12 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The decision module: speed-scaled least-loaded dispatch (eLL), one dispatcher. Interface: Dispatching.java,
+ * The decision module: speed-scaled least-loaded dispatch (eLL), one dispatcher. Interface: java,
  * it is told {@link Events} and answers with {@link Actions}. Each job goes to the suitable worker of lowest
  * effective load, el, least recently used on ties; where all exceed reject-threshold it is held while its aim
  * can still be met, then refused. Single-threaded; same events, same actions. More: docs/DESIGN.md.
  */
-public final class Dispatcher implements Events {
+public final class Dispatcher implements DispatchEvents {
 
     // ---- Tunables. Each is a ratio or a share of something set or observed, none a figure of a deployment.
 
@@ -76,10 +75,10 @@
     private static final long TICK = 1;
     private static final long LIST = 2;
 
-    private final Settings settings;
-    private final Limits limits;
-    private final Rules rules;
-    private final Actions actions;
+    private final DispatchSettings settings;
+    private final DispatchLimits limits;
+    private final WorkerRules rules;
+    private final DispatchActions actions;
     private final Random random;
     private final double seen; // share of the group's sends that it can account for
     private final long tickNs;
@@ -103,7 +102,7 @@
 
     /** A worker on the list, with its row of the el table. */
     private static final class Member {
-        Worker info;
+        WorkerEndpoint info;
         PerformanceIndex kind;
         final PerformanceIndex speed = new PerformanceIndex();
         final List<Attempt> out = new ArrayList<>();
@@ -111,12 +110,12 @@
         final ArrayDeque<double[]> coldSent = new ArrayDeque<>();
         double slots, own, others, ownAtReport, slotsSeen, reports, capacityTo;
         double doubt = 1, pi = 1;
-        Load lastLoad;
+        LoadReport lastLoad;
         long idle, idleAt, loadChangedAt, reportAt, probeAt, lastUsed, doubtAt;
         boolean slotsKnown, probing, isUsed;
 
         boolean usable() {
-            return info.state() == State.READY;
+            return info.state() == EndpointState.READY;
         }
     }
 
@@ -152,14 +151,14 @@
         }
     }
 
-    public Dispatcher(long now, Settings settings, long seed, Actions actions) {
+    public Dispatcher(long now, DispatchSettings settings, long seed, DispatchActions actions) {
         this.now = now;
         this.settings = settings;
         limits = settings.limits();
         rules = settings.rules();
         this.actions = actions;
         random = new Random(seed);
-        double few = Math.min(1, FEW / Math.max(1, settings.groupSize()));
+        double few = Math.min(1, FEW / Math.max(1, settings.dispatcherCount()));
         seen = few * few; // of what is sent its own is a share, and its own answers bring a share of the news
         bornAt = now;
         stats = new ClassRunTimes[settings.classes().size()];
@@ -167,9 +166,9 @@
         double worth = 0;
         for (int i = 0; i < stats.length; i++) {
             JobClass c = settings.classes().get(i);
-            stats[i] = new ClassRunTimes(c, settings.worthByWork());
-            aim = Math.min(aim, Math.max(c.aimNs(), MIN_TICK_NS));
-            worth += c.worth();
+            stats[i] = new ClassRunTimes(c, settings.weightByWork());
+            aim = Math.min(aim, Math.max(c.latencyObjectiveNs(), MIN_TICK_NS));
+            worth += c.priorityWeight();
         }
         minAimNs = stats.length == 0 ? MIN_TICK_NS * TICKS_PER_AIM : aim;
         meanWorth = stats.length == 0 ? 1 : worth / stats.length;
@@ -178,15 +177,15 @@
         reportGapNs = minAimNs;
         startLagNs = MIN_TICK_NS;
         watchBackoffNs = minAimNs;
-        if (settings.askForList()) {
-            actions.watchList();
+        if (settings.pollsEndpoints()) {
+            actions.watchEndpoints();
         }
     }
 
-    // ---- Worker table and effective load
+    // ---- WorkerEndpoint table and effective load
 
     /** A report replaces what is believed of others' load; our own part as of its date is taken off. */
-    private void report(Member m, Load load) {
+    private void report(Member m, LoadReport load) {
         if (load == null) {
             return;
         }
@@ -198,8 +197,8 @@
             m.loadChangedAt = now;
         }
         m.lastLoad = load;
-        double queue = or(load.waiting(), 0);
-        double running = or(load.held(), 0) - queue;
+        double queue = or(load.queued(), 0);
+        double running = or(load.inFlight(), 0) - queue;
         double none = Double.MAX_VALUE;
         double free = Math.min(or(load.freeSlots(), none), or(load.freeMemory(), none));
         if (!Double.isNaN(load.freeSlots())) {
@@ -212,7 +211,7 @@
         }
         double inFlight = free < none
                 ? Math.max(running, m.slots - free)
-                : Double.isNaN(load.held()) ? or(load.utilization(), 0) * m.slots : running;
+                : Double.isNaN(load.inFlight()) ? or(load.utilization(), 0) * m.slots : running;
         double nrl = inFlight + queue * meanNeed;
         told(m, nrl);
     }
@@ -239,7 +238,7 @@
     /** Raw load now, own and others'; what others were seen to have fades towards their mean as jobs end. */
     private double rawLoad(Member m) {
         if (!everReported) {
-            return m.own * settings.groupSize();
+            return m.own * settings.dispatcherCount();
         }
         double mean = othersMean * m.slots;
         double age = (now - m.reportAt + reportGapNs / 2) / meanRunNs;
@@ -247,7 +246,7 @@
             return m.own + mean; // as it is for most of very many workers
         }
         // Others see what we see and choose alike: what we have added since the report, they have in part.
-        double herd = HERD * Math.min(FEW, settings.groupSize() - 1) * Math.max(0, m.own - m.ownAtReport);
+        double herd = HERD * Math.min(FEW, settings.dispatcherCount() - 1) * Math.max(0, m.own - m.ownAtReport);
         // By the age of what it tells: a report that was late already must not draw a crowd.
         double fade = Math.exp(-age);
         return m.own + mean + (m.others + herd - mean) * fade;
@@ -280,23 +279,23 @@
     /** Effective load with the job on it, by the paper: floor((sf/tol)·(nrl + pbl·need)), pbl being 1. */
     private double el(Member m, Held h) {
         double el = Math.floor(sf(m) / TOL * (rawLoad(m) + h.need));
-        double toll = crossing(h, m) + (connected(m) ? 0 : settings.handshakePrice() * priceWeight(h));
+        double toll = crossing(h, m) + (connected(m) ? 0 : settings.handshakeCost() * priceWeight(h));
         return el + Math.floor(toll * TOLL_LOAD * m.slots / TOL);
     }
 
     /** Whether a connection to it stands idle, as far as can be told from here. */
     private boolean connected(Member m) {
-        return m.idle > 0 && now - m.idleAt < KEPT_OPEN * limits.idleCloseNs();
+        return m.idle > 0 && now - m.idleAt < KEPT_OPEN * limits.idleTimeoutNs();
     }
 
     /** What sending the job there costs for crossing zones, as a share of the job's worth. */
     private double crossing(Held h, Member m) {
-        return m.info.zone().equals(settings.zone()) ? 0 : settings.crossZonePrice() * priceWeight(h);
+        return m.info.zone().equals(settings.zone()) ? 0 : settings.crossZoneCost() * priceWeight(h);
     }
 
     /** The mean job's worth relative to this one's: what a price weighs for it. */
     private double priceWeight(Held h) {
-        return meanWorth / Math.max(h.of.worth(), 1e-9);
+        return meanWorth / Math.max(h.of.priorityWeight(), 1e-9);
     }
 
     private void own(Member m, double change) {
@@ -342,7 +341,7 @@
             if (m.usable()) {
                 piMin = Math.min(piMin, m.pi);
                 (cold(m) ? colds : ready).add(m);
-                double far = m.info.zone().equals(settings.zone()) ? 0 : FAR * settings.crossZonePrice();
+                double far = m.info.zone().equals(settings.zone()) ? 0 : FAR * settings.crossZoneCost();
                 capacity += cold(m) ? 0 : 1 / (1 + far) / m.pi / doubt(m);
                 m.capacityTo = capacity;
             }
@@ -352,22 +351,22 @@
     // ---- Cold workers
 
     private double ramp(Member m, double at) {
-        double start = rules.startCapacity();
-        long cold = rules.coldNs();
-        if (m.info.bornNs() <= 0 || cold <= 0) {
+        double start = rules.initialCapacity();
+        long cold = rules.slowStartNs();
+        if (m.info.startedNs() <= 0 || cold <= 0) {
             return 1;
         }
-        return Math.max(start, Math.min(1, start + (1 - start) * (at - m.info.bornNs()) / cold));
+        return Math.max(start, Math.min(1, start + (1 - start) * (at - m.info.startedNs()) / cold));
     }
 
     private boolean cold(Member m) {
-        long since = now - m.info.bornNs();
-        return m.info.bornNs() > 0 && since < rules.coldNs() + rules.overloadForNs();
+        long since = now - m.info.startedNs();
+        return m.info.startedNs() > 0 && since < rules.slowStartNs() + rules.overloadWindowNs();
     }
 
     /** A cold worker, by the list, takes in any span only this dispatcher's part of what it can do. */
     private boolean coldBudgetAllows(Member m, Held h) {
-        long span = rules.overloadForNs();
+        long span = rules.overloadWindowNs();
         if (!cold(m)) {
             return true;
         }
@@ -380,9 +379,9 @@
         }
         double budget = rules.overloadFactor() * COLD_SAFETY * ramp(m, now - span) / m.pi * span;
         // As many as can send it a mean job hold the right, in turns of a span: one turn's have half of it.
-        int group = Math.max(1, settings.groupSize());
+        int group = Math.max(1, settings.dispatcherCount());
         int holders = (int) Math.max(1, Math.min(group, budget / 2 / COLD_SURPRISE / meanRunNs));
-        long turn = (now - m.info.bornNs()) / span * holders + m.info.id() + settings.me();
+        long turn = (now - m.info.startedNs()) / span * holders + m.info.id() + settings.dispatcherIndex();
         return turn % group < holders && sum + coldWork(h) <= budget / holders / (holders < group ? 2 : 1);
     }
 
@@ -510,7 +509,7 @@
         }
         // Where much is sent unseen, an expected wait is often a longer one: for a while it looks for better.
         double share = QUEUE_SHARE * (left > 0.8 * (h.latestStart - h.takenAt) ? seen : 1);
-        double slack = Math.max(left, h.of.aimNs() * 0.25) * share * h.stats.patience();
+        double slack = Math.max(left, h.of.latencyObjectiveNs() * 0.25) * share * h.stats.patience();
         double reserve = 0; // a less worthy job leaves some room to the next of a worthier class
         for (ClassRunTimes s : stats) {
             if (s.density() > h.stats.density()) {
@@ -523,7 +522,7 @@
         double wait = expectedWait(m, over);
         if (copy) {
             return over == 0
-                    && (!limits.probes() || now - m.reportAt <= 2 * reportGapNs)
+                    && (!limits.healthChecks() || now - m.reportAt <= 2 * reportGapNs)
                     && now + h.workNs * time <= h.aimAt;
         }
         return wait <= slack && (doubt < 1.5 || h.workNs * (time - 1) <= slack);
@@ -548,7 +547,7 @@
         m.idle = Math.max(0, m.idle - 1);
         own(m, h.need);
         if (cold(m)) {
-            while (!m.coldSent.isEmpty() && m.coldSent.peekFirst()[0] <= now - rules.overloadForNs()) {
+            while (!m.coldSent.isEmpty() && m.coldSent.peekFirst()[0] <= now - rules.overloadWindowNs()) {
                 m.coldSent.removeFirst();
             }
             m.coldSent.addLast(new double[] {now, coldWork(h)});
@@ -586,7 +585,7 @@
     // ---- Jobs, attempts and outcomes
 
     @Override
-    public void job(long at, Job job) {
+    public void jobArrived(long at, Job job) {
         now = at;
         Held h = new Held();
         h.job = job;
@@ -598,18 +597,18 @@
         // The aim runs from the client's first try. Where retries are not marked, a shorter budget shows one;
         // where they are, it shows a client in haste: taken for a retry its job would be late at once.
         h.stats.longestBudgetNs = Math.max(h.stats.longestBudgetNs, job.budgetNs());
-        double elapsed = job.firstTry() ? 0 : h.stats.longestBudgetNs - job.budgetNs();
+        double elapsed = job.firstAttempt() ? 0 : h.stats.longestBudgetNs - job.budgetNs();
         h.workNs = Math.exp(h.stats.expectedLog(job));
-        double aim = Math.min(h.of.aimNs() + h.of.stretch() * h.workNs - elapsed, job.budgetNs());
+        double aim = Math.min(h.of.latencyObjectiveNs() + h.of.stretch() * h.workNs - elapsed, job.budgetNs());
         h.aimAt = now + (long) aim;
         h.latestStart = (long) (h.aimAt - h.workNs);
         meanNeed += 0.01 * (h.need - meanNeed);
         h.stats.meanNeed += 0.01 * (h.need - h.stats.meanNeed);
-        meanWorth += 0.01 * (h.of.worth() - meanWorth);
-        repeats = Math.min(Math.max(1, REPEATS_SAVED / settings.groupSize()), repeats + REPEATS_PER_JOB);
+        meanWorth += 0.01 * (h.of.priorityWeight() - meanWorth);
+        repeats = Math.min(Math.max(1, REPEATS_SAVED / settings.dispatcherCount()), repeats + REPEATS_PER_JOB);
         // Where little is seen a copy waits as the first does, and what is cancelled may run all the same.
         copies = Math.min(REPEATS_SAVED, copies + REPEATS_PER_JOB * seen);
-        probes = Math.min(2 * members.size(), probes + PROBE_SPEND / Math.max(settings.probePrice(), 1e-6));
+        probes = Math.min(2 * members.size(), probes + PROBE_SPEND / Math.max(settings.healthCheckCost(), 1e-6));
         jobs.put(job.id(), h);
         startTicking();
         settle(h);
@@ -623,8 +622,8 @@
         }
         boolean again = h.firstMayHaveRun() != null;
         // Where copies are barred only a job that waited is taken back: it had not begun, and is no repeat.
-        boolean charged = again && (limits.copies() || !h.attempts.get(h.attempts.size() - 1).cancelled);
-        if (again && h.of.effect() == Effect.UNSAFE
+        boolean charged = again && (limits.hedging() || !h.attempts.get(h.attempts.size() - 1).cancelled);
+        if (again && h.of.idempotency() == Idempotency.NON_IDEMPOTENT
                 || h.attempts.size() >= limits.maxAttempts()
                 || expired(h)
                 || charged && repeats < 1) {
@@ -637,18 +636,18 @@
 
     /** No start can be of use any more, or the client is about to leave. */
     private boolean expired(Held h) {
-        return now >= h.leavesAt - 2 * tickNs || h.of.lateWorth() <= 0 && now > h.latestStart;
+        return now >= h.leavesAt - 2 * tickNs || h.of.lateWeight() <= 0 && now > h.latestStart;
     }
 
     /** The final answer of what is not served: a refusal where a further try is sure to be harmless. */
     private void answer(Held h) {
         h.answered = true;
         boolean harmless = h.firstMayHaveRun() == null
-                || h.of.effect() == Effect.SAFE
-                || h.of.effect() == Effect.KEYED && h.of.group() == Group.ALL;
+                || h.of.idempotency() == Idempotency.IDEMPOTENT
+                || h.of.idempotency() == Idempotency.KEYED && h.of.deduplicationScope() == DeduplicationScope.ALL;
         if (harmless) {
             refused++;
-            actions.refuse(h.job.id(), limits.retryAfter() ? limits.maxRetryAfterNs() : 0);
+            actions.shed(h.job.id(), limits.retryAfter() ? limits.maxRetryAfterNs() : 0);
         } else {
             failed++;
             actions.fail(h.job.id());
@@ -664,11 +663,11 @@
 
     private boolean groupAllows(Held h, Member m) {
         Attempt first = h.firstMayHaveRun();
-        boolean bound = first != null && h.of.effect() == Effect.KEYED;
+        boolean bound = first != null && h.of.idempotency() == Idempotency.KEYED;
         if (!bound || now > windowEnd(first) - tickNs) {
             return !bound;
         }
-        return switch (h.of.group()) {
+        return switch (h.of.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> m.info.zone().equals(first.at.info.zone());
             case CELL -> m.info.cell() == first.at.info.cell() && m.info.zone().equals(first.at.info.zone());
@@ -679,14 +678,14 @@
      * When the attempt must have begun where it repeats one that may have run, else the end of time; the host
      * asks again, as an attempt may wait for a connection.
      */
-    public long repeatsEnd(long job, int number) {
+    public long retryDeadline(long job, int number) {
         Attempt first = jobs.containsKey(job) ? jobs.get(job).firstMayHaveRun() : null;
-        boolean repeats = first != null && first.number < number && first.job.of.effect() == Effect.KEYED;
+        boolean repeats = first != null && first.number < number && first.job.of.idempotency() == Idempotency.KEYED;
         return repeats ? windowEnd(first) : Long.MAX_VALUE;
     }
 
     private static long windowEnd(Attempt first) {
-        return first.sentAt + first.job.of.windowNs();
+        return first.sentAt + first.job.of.idempotencyWindowNs();
     }
 
     private Attempt attempt(long job, int number) {
@@ -697,7 +696,7 @@
     }
 
     @Override
-    public void started(long at, long job, int number) {
+    public void attemptStarted(long at, long job, int number) {
         now = at;
         Attempt a = attempt(job, number);
         if (a == null) {
@@ -725,7 +724,7 @@
     }
 
     @Override
-    public void progress(long at, long job, int number, double done) {
+    public void attemptProgressed(long at, long job, int number, double done) {
         now = at;
         Attempt a = attempt(job, number);
         if (a == null || now <= a.notedAt) {
@@ -743,7 +742,7 @@
     }
 
     @Override
-    public void streaming(long at, long job, int number) {
+    public void streamingStarted(long at, long job, int number) {
         now = at;
         Attempt a = attempt(job, number);
         if (a == null) {
@@ -763,7 +762,7 @@
     }
 
     @Override
-    public void ended(long at, long job, int number, Outcome outcome, boolean closed, Load load) {
+    public void attemptEnded(long at, long job, int number, Outcome outcome, boolean closed, LoadReport load) {
         now = at;
         Attempt a = attempt(job, number);
         if (a == null) {
@@ -771,7 +770,7 @@
         }
         Held h = a.job;
         a.over = true;
-        a.neverRan = outcome.neverRan && !(outcome == Outcome.REFUSED && rules.fullMayHaveRun());
+        a.neverRan = outcome.neverRan() && !(outcome == Outcome.REJECTED && rules.rejectionMayHaveRun());
         h.out--;
         a.at.out.remove(a);
         own(a.at, -h.need);
@@ -788,7 +787,7 @@
                 trust(a.at);
             }
             case ERROR, LOST, UNREACHABLE -> doubt(a.at, doubt(a.at) * 2);
-            case REFUSED -> { // its queue is full whatever the table says
+            case REJECTED -> { // its queue is full whatever the table says
                 a.at.others = Math.max(a.at.others, a.at.slots + meanNeed);
                 doubt(a.at, doubt(a.at) * 1.5);
             }
@@ -802,7 +801,7 @@
     }
 
     @Override
-    public void left(long at, long job) {
+    public void clientDisconnected(long at, long job) {
         now = at;
         Held h = jobs.get(job);
         if (h == null) {
@@ -836,12 +835,12 @@
      * fault. Silence past the time in which what they hold is worked off is one, and so is silence of a run.
      */
     private void watchSilence(Attempt a) {
-        if (a.over || !settings.tellsStart()) {
+        if (a.over || !settings.reportsStart()) {
             return;
         }
         double grace = 2 * startLagNs + 2 * tickNs;
         double silent = now - a.notedAt;
-        double due = settings.progressNs() > 0 ? settings.progressNs() : Double.MAX_VALUE;
+        double due = settings.progressIntervalNs() > 0 ? settings.progressIntervalNs() : Double.MAX_VALUE;
         if (a.startedAt < 0) {
             if (silent > grace - tickNs) {
                 believe(a.at, leftToOthers(a.at), Double.MAX_VALUE);
@@ -858,17 +857,17 @@
      * Where a job may have but one attempt out, one that waits is taken back and goes where it need not.
      */
     private void rescue(Held h) {
-        boolean moves = !limits.copies() && limits.cancel();
+        boolean moves = !limits.hedging() && limits.cancel();
         if (h.answered
                 || h.out != 1
-                || h.of.effect() == Effect.UNSAFE
+                || h.of.idempotency() == Idempotency.NON_IDEMPOTENT
                 || h.streaming
                 || h.attempts.size() >= limits.maxAttempts()
-                || !moves && (!limits.copies() || repeats < 1 || copies < 1)) {
+                || !moves && (!limits.hedging() || repeats < 1 || copies < 1)) {
             return;
         }
         Attempt a = h.attempts.get(h.attempts.size() - 1);
-        boolean stuck = a.startedAt < 0 ? now - a.sentAt > h.of.aimNs() * 0.25 : !moves && doubt(a.at) > 2;
+        boolean stuck = a.startedAt < 0 ? now - a.sentAt > h.of.latencyObjectiveNs() * 0.25 : !moves && doubt(a.at) > 2;
         Member m = a.over || a.cancelled || !stuck ? null : choose(h, candidates(h), true);
         if (m != null && moves) {
             a.cancelled = true; // settle() sends it on once its end is told
@@ -885,17 +884,17 @@
     private void startTicking() {
         if (!ticking) {
             ticking = true;
-            actions.wakeIn(tickNs, TICK);
+            actions.scheduleTimer(tickNs, TICK);
         }
     }
 
     @Override
-    public void wake(long at, long tag) {
+    public void timerFired(long at, long tag) {
         now = at;
         if (tag == LIST) {
             if (listFailed) {
                 listFailed = false;
-                actions.watchList();
+                actions.watchEndpoints();
             }
             return;
         }
@@ -939,7 +938,7 @@
     }
 
     /** Whether the worker is passed over for its doubt, as a rule; for the host to tell. */
-    public boolean avoids(long at, long worker) {
+    public boolean isEjected(long at, long worker) {
         now = at;
         return avoids(members.get(worker));
     }
@@ -947,25 +946,26 @@
     // ---- Membership
 
     @Override
-    public void list(long at, ListForm form, List<Worker> lines) {
+    public void endpointsUpdated(long at, EndpointUpdate form, List<WorkerEndpoint> lines) {
         now = at;
-        if (form == ListForm.FAILED) {
+        if (form == EndpointUpdate.FAILED) {
             listFailed = true;
-            watchBackoffNs = Math.min(2 * watchBackoffNs, rules.askWithinNs() / 4);
-            actions.wakeIn(watchBackoffNs, LIST);
+            watchBackoffNs = Math.min(2 * watchBackoffNs, rules.pollIntervalLimitNs() / 4);
+            actions.scheduleTimer(watchBackoffNs, LIST);
             return;
         }
-        if (form != ListForm.CACHED) {
+        if (form != EndpointUpdate.CACHED) {
             listFailed = false;
             watchBackoffNs = minAimNs;
         }
-        if (form == ListForm.FULL) {
+        if (form == EndpointUpdate.SNAPSHOT) {
             for (Member m : members.values()) { // whatever the list does not name is gone
-                Worker w = m.info;
-                m.info = new Worker(w.id(), w.cell(), w.zone(), w.kind(), w.bornNs(), State.GONE, w.weight());
+                WorkerEndpoint w = m.info;
+                m.info = new WorkerEndpoint(
+                        w.id(), w.cell(), w.zone(), w.kind(), w.startedNs(), EndpointState.REMOVED, w.weight());
             }
         }
-        for (Worker w : lines) {
+        for (WorkerEndpoint w : lines) {
             Member m = members.get(w.id());
             if (m == null) {
                 m = new Member();
@@ -973,7 +973,7 @@
                 m.slots = m.kind.slots > 0 ? m.kind.slots : slotsOfAny; // until it reports
                 m.lastUsed = -random.nextInt(1 << 20);
                 members.put(w.id(), m);
-            } else if (w.bornNs() != m.info.bornNs()) { // a new process: the old one is void
+            } else if (w.startedNs() != m.info.startedNs()) { // a new process: the old one is void
                 m.others = 0;
                 m.doubt = 1;
                 m.coldSent.clear();
@@ -985,7 +985,7 @@
                 everReported = true;
             }
         }
-        members.values().removeIf(m -> m.info.state() == State.GONE && m.out.isEmpty());
+        members.values().removeIf(m -> m.info.state() == EndpointState.REMOVED && m.out.isEmpty());
         refreshIndices(0);
         placeWaiting();
     }
@@ -993,7 +993,7 @@
     // ---- What was learned, for a dispatcher that takes this one's place
 
     /** What was learned, by name. With what cold workers were sent goes, for a span, the right to send. */
-    public Map<String, double[]> handOver(long at) {
+    public LearnedState exportLearnedState(long at) {
         now = bornAt = at;
         Map<String, double[]> all = new LinkedHashMap<>();
         double told = everReported ? 1 : 0;
@@ -1013,12 +1013,13 @@
                             .flatMapToDouble(sent -> DoubleStream.of(now - sent[0], sent[1]))
                             .toArray());
         }
-        return all;
+        return new LearnedState(all);
     }
 
     /** Takes over what another dispatcher hands over; what it lacks, or has otherwise, stays as it is. */
-    public void recall(long at, Map<String, double[]> learned) {
+    public void importLearnedState(long at, LearnedState state) {
         now = at;
+        Map<String, double[]> learned = state.entries();
         take(learned, "", 6, v -> {
             meanRunNs = v[0];
             runs = v[1];
@@ -1026,7 +1027,7 @@
             reportGapNs = v[3];
             startLagNs = v[4];
             everReported |= v[5] > 0;
-            bornAt = now - rules.overloadForNs(); // what was sent to cold workers before is known
+            bornAt = now - rules.overloadWindowNs(); // what was sent to cold workers before is known
         });
         for (ClassRunTimes s : stats) {
             take(learned, "class " + s.of.name(), 5, v -> {
@@ -1069,8 +1070,8 @@
 
     /** Asks workers that were long not heard of, or are avoided, as far as the price allows. */
     private void probeSilent() {
-        for (Member m : limits.probes() ? members.values() : List.<Member>of()) {
-            boolean soon = settings.reports() == Reports.PROBES || avoids(m);
+        for (Member m : limits.healthChecks() ? members.values() : List.<Member>of()) {
+            boolean soon = settings.loadReportSource() == LoadReportSource.HEALTH_CHECKS || avoids(m);
             // One that answers no probe has no newer report: it has a pause all the same.
             if (m.usable()
                     && !m.probing
@@ -1079,13 +1080,13 @@
                 probes--;
                 m.probing = true;
                 m.probeAt = now;
-                actions.probe(m.info.id());
+                actions.healthCheck(m.info.id());
             }
         }
     }
 
     @Override
-    public void probed(long at, long worker, boolean answered, Load load) {
+    public void healthCheckCompleted(long at, long worker, boolean answered, LoadReport load) {
         now = at;
         Member m = members.get(worker);
         if (m == null) {
--- a/src/main/java/beechseam/PerformanceIndex.java
+++ b/src/main/java/beechseam/dispatch/PerformanceIndex.java
@@ -1,4 +1,4 @@
-package beechseam;
+package beechseam.dispatch;
 
 /** The performance index (PI) of a worker or kind: the mean logarithm of run time over what was expected. */
 final class PerformanceIndex {
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -1,7 +1,7 @@
 package beechseam.gearman;
 
-import beechseam.Dispatching.Effect;
 import beechseam.config.GearmanConfig.Mode;
+import beechseam.dispatch.Idempotency;
 import beechseam.gearman.protocol.Arguments;
 import beechseam.gearman.protocol.Packet;
 import beechseam.gearman.queue.Admission.Refusal;
@@ -123,7 +123,7 @@
         if (f == null) {
             return; // it has been told why
         }
-        if (f.of(mode).effect() == Effect.KEYED && unique.isEmpty()) {
+        if (f.of(mode).idempotency() == Idempotency.KEYED && unique.isEmpty()) {
             connection.error("NO_KEY", "jobs of this function need a unique key");
             return;
         }
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -75,17 +75,17 @@
     }
 
     @Override
-    protected long mostWaiting() {
+    protected long maxUnwrittenBytes() {
         return (long) server.config.bounds().unread() + server.config.bounds().packet();
     }
 
     @Override
-    protected boolean writesByTurn() {
+    protected boolean batchesWrites() {
         return true;
     }
 
     @Override
-    protected long mostDiscarded() {
+    protected long maxDiscardedBytes() {
         return MOST_DISCARDED;
     }
 
--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -1,12 +1,5 @@
 package beechseam.gearman;
 
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Outcome;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
 import beechseam.config.GearmanConfig;
 import beechseam.config.GearmanConfig.Mode;
 import beechseam.core.Attempt;
@@ -14,6 +7,13 @@
 import beechseam.core.Egress;
 import beechseam.core.Engine;
 import beechseam.core.Timer;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.Job;
+import beechseam.dispatch.JobClass;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.Outcome;
+import beechseam.dispatch.WorkerEndpoint;
 import beechseam.gearman.queue.Cohorts;
 import beechseam.gearman.queue.Cohorts.Cohort;
 import beechseam.gearman.queue.Cohorts.Member;
@@ -101,7 +101,7 @@
         long aim = Long.MAX_VALUE;
         for (Mode mode : Mode.values()) {
             lines.limit(mode.priority(), known.maxQueue().of(mode));
-            aim = Math.min(aim, Math.max(known.of(mode).aimNs(), MIN_TICK_NS));
+            aim = Math.min(aim, Math.max(known.of(mode).latencyObjectiveNs(), MIN_TICK_NS));
         }
         leadNs = TICKS_AHEAD * Math.max(MIN_TICK_NS, aim / TICKS_PER_AIM);
         cohorts = new Cohorts<>(server.config.bounds().targets());
@@ -117,7 +117,7 @@
 
     /** Requests that the engine still has, also those answered with an attempt out. */
     int open() {
-        return engine == null ? 0 : engine.open();
+        return engine == null ? 0 : engine.openRequests();
     }
 
     Engine engine() {
@@ -218,7 +218,7 @@
         long left = Math.max(1, job.since + of(job.mode).deadlineNs() - server.loop.now());
         // Its client's try is the first that the module sees: less time in hand than usual is the line's
         // doing.
-        job.request = engine.take(job.handle(), new Job(0, job.mode.ordinal(), left, 0, 1, 0, true), job, job);
+        job.request = engine.submit(job.handle(), new Job(0, job.mode.ordinal(), left, 0, 1, 0, true), job, job);
     }
 
     /**
@@ -324,7 +324,7 @@
     private void settle(Cohort<WorkerSession> c) {
         for (Cohort<WorkerSession> gone : cohorts.takeEmptied()) {
             if (gone.shown) {
-                engine.routes(ListForm.CHANGES, List.of(row(gone, State.GONE)));
+                engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row(gone, EndpointState.REMOVED)));
             }
             release(gone);
         }
@@ -348,7 +348,8 @@
         }
         if (c.ready() != c.shownReady) {
             c.shownReady = c.ready();
-            engine.routes(ListForm.CHANGES, List.of(row(c, c.ready() ? State.READY : State.DRAINING)));
+            engine.updateEndpoints(
+                    EndpointUpdate.DELTA, List.of(row(c, c.ready() ? EndpointState.READY : EndpointState.DRAINING)));
         }
     }
 
@@ -357,13 +358,13 @@
         if (!c.shown) {
             c.shown = true;
             c.shownReady = false;
-            engine.routes(ListForm.CHANGES, List.of(row(c, State.DRAINING)));
+            engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row(c, EndpointState.DRAINING)));
         }
-        engine.probed(c.id, true, load(c));
+        engine.healthCheckCompleted(c.id, true, load(c));
     }
 
-    private Worker row(Cohort<WorkerSession> c, State state) {
-        return new Worker(c.id, c.place.cell(), c.place.zone(), name, 0, state);
+    private WorkerEndpoint row(Cohort<WorkerSession> c, EndpointState state) {
+        return new WorkerEndpoint(c.id, c.place.cell(), c.place.zone(), name, 0, state);
     }
 
     /**
@@ -371,8 +372,8 @@
      * one, and a worker of one slot could never keep it. It is never used, since a cohort with no free worker
      * is out of service.
      */
-    private static Load load(Cohort<WorkerSession> c) {
-        return new Load(c.busy(), 0, Math.max(0, c.slots() - c.busy()) + 1, Double.NaN, 0);
+    private static LoadReport load(Cohort<WorkerSession> c) {
+        return new LoadReport(c.busy(), 0, Math.max(0, c.slots() - c.busy()) + 1, Double.NaN, 0);
     }
 
     /** It is asked for: the module hears all that it missed. O(workers). */
@@ -437,7 +438,7 @@
         }
         Cohort<WorkerSession> c = cohorts.find(attempt.target);
         if (c == null) {
-            engine.ended(attempt, Outcome.NOT_SENT, null, null);
+            engine.attemptEnded(attempt, Outcome.NOT_SENT, null, null);
             return;
         }
         WorkerSession w = cohorts.pick(c);
@@ -456,7 +457,7 @@
             return null;
         }
         Attempt attempt = waiting.poll();
-        while (attempt != null && attempt.over()) {
+        while (attempt != null && attempt.hasEnded()) {
             attempt = waiting.poll();
         }
         if (waiting.isEmpty()) {
@@ -492,15 +493,15 @@
 
     /** It was not begun: the module may place it anew. */
     void withhold(Attempt attempt) {
-        if (!attempt.over()) {
+        if (!attempt.hasEnded()) {
             counters.withheld++;
-            engine.ended(attempt, Outcome.NOT_SENT, null, null);
+            engine.attemptEnded(attempt, Outcome.NOT_SENT, null, null);
         }
     }
 
     /** An attempt at this worker has ended. */
     void ended(Attempt attempt, Outcome outcome, byte[] result, Member<WorkerSession> m) {
-        Load load = null;
+        LoadReport load = null;
         if (m != null && (outcome == Outcome.SERVED || outcome == Outcome.ERROR)) {
             long now = server.loop.now();
             Cohort<WorkerSession> c = m.cohort();
@@ -509,7 +510,7 @@
                 load = load(c);
             }
         }
-        engine.ended(attempt, outcome, result, load);
+        engine.attemptEnded(attempt, outcome, result, load);
     }
 
     /** The worker has run a job well, badly, or not at all: it may belong elsewhere. */
@@ -534,14 +535,14 @@
             if (waiting.isEmpty()) {
                 parked.remove(attempt.target);
             }
-        } else if (attempt.carrier instanceof WorkerSession w) {
+        } else if (attempt.exchange instanceof WorkerSession w) {
             w.unpark(attempt);
         }
     }
 
     @Override
-    public void probe(long target) {
+    public void healthCheck(long target) {
         Cohort<WorkerSession> c = cohorts.find(target);
-        engine.probed(target, c != null, c == null ? null : load(c));
+        engine.healthCheckCompleted(target, c != null, c == null ? null : load(c));
     }
 }
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -106,7 +106,7 @@
     private boolean over;
 
     /** Whether its end has been counted and told. */
-    boolean over() {
+    boolean hasEnded() {
         return over;
     }
 
@@ -195,7 +195,7 @@
 
     /** Whether this attempt's data goes to the clients. */
     boolean speaks(Attempt attempt) {
-        if (speaker == null || speaker.over()) {
+        if (speaker == null || speaker.hasEnded()) {
             speaker = attempt;
         }
         return speaker == attempt;
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -341,7 +341,7 @@
 
     /** The job has its final answer, or needs none. */
     void finished(GearmanJob job, Jobs.End how) {
-        if (job.over()) {
+        if (job.hasEnded()) {
             return;
         }
         job.function.ended(job);
@@ -369,7 +369,7 @@
         if (job.stage == GearmanJob.Stage.MODULE) {
             tell.run();
             if (job.request != null) { // null while the module is just being told of it
-                job.function.engine().left(job.request);
+                job.function.engine().clientDisconnected(job.request);
             }
         } else {
             job.function.withdraw(job);
@@ -440,7 +440,7 @@
         Map<String, Integer> dropped = new TreeMap<>();
         for (GearmanJob job : new ArrayList<>(jobs.all())) {
             boolean waited = job.clientCount() > 0;
-            if (job.over() || !all && (waited || job.running())) {
+            if (job.hasEnded() || !all && (waited || job.running())) {
                 continue;
             }
             if (!waited) {
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -1,8 +1,8 @@
 package beechseam.gearman;
 
-import beechseam.Dispatching.Outcome;
 import beechseam.core.Attempt;
 import beechseam.core.Timer;
+import beechseam.dispatch.Outcome;
 import beechseam.gearman.protocol.Arguments;
 import beechseam.gearman.protocol.Packet;
 import beechseam.gearman.queue.Cohorts.Member;
@@ -258,7 +258,7 @@
     /** The module has placed an attempt here. */
     void park(Attempt attempt) {
         parked = attempt;
-        attempt.carrier = this;
+        attempt.exchange = this;
         refresh();
         wake();
     }
@@ -341,7 +341,7 @@
                 @Override
                 protected void fire() { // the worker's own limit: it may still run there
                     run.limit = null;
-                    if (!attempt.over()) {
+                    if (!attempt.hasEnded()) {
                         f.learned(a.member(), Outcome.TIMEOUT, 0);
                         f.ended(attempt, Outcome.TIMEOUT, null, null);
                     }
@@ -349,7 +349,7 @@
             };
             server.loop.timers.set(run.limit, server.loop.now() + a.seconds() * 1_000_000_000L);
         }
-        f.engine().started(attempt);
+        f.engine().attemptStarted(attempt);
     }
 
     private void hand(Packet kind, GearmanJob job, Object... args) {
@@ -371,7 +371,7 @@
             return;
         }
         GearmanJob job = GearmanFunction.job(run.attempt);
-        boolean live = !run.attempt.over() && !run.attempt.request.finished();
+        boolean live = !run.attempt.hasEnded() && !run.attempt.request.finished();
         switch (kind) {
             case WORK_COMPLETE -> {
                 if (live && job.result == null) {
@@ -402,7 +402,7 @@
         try {
             double share = Double.parseDouble(job.numerator) / Double.parseDouble(job.denominator);
             if (share >= 0 && share <= 1) {
-                job.function.engine().progress(attempt, share);
+                job.function.engine().attemptProgressed(attempt, share);
             }
         } catch (NumberFormatException e) {
             // by the protocol it is for the clients, whatever it says
@@ -413,7 +413,7 @@
     private void end(Run run, Outcome outcome) {
         forget(run);
         Member<WorkerSession> m = member(run.function);
-        if (m != null && !run.attempt.over()) {
+        if (m != null && !run.attempt.hasEnded()) {
             run.function.learned(m, outcome, server.loop.now() - run.startedAt);
         }
         run.function.ended(run.attempt, outcome, null, m);
--- a/src/main/java/beechseam/http/ServerConnection.java
+++ b/src/main/java/beechseam/http/ServerConnection.java
@@ -90,13 +90,13 @@
             endedAt = loop.now();
             endWhenWritten();
         } else if (!reading) {
-            again(); // the next request may have come meanwhile
+            processBufferedInput(); // the next request may have come meanwhile
         }
     }
 
     /** A request is acted on: its client may have gone behind it, as far as that has come. */
     @Override
-    protected final boolean readsToEnd() {
+    protected final boolean readsUntilPeerCloses() {
         return !busy;
     }
 
@@ -105,7 +105,7 @@
      * would not be noticed any more. What follows is dropped, and the connection ends with the answer.
      */
     @Override
-    protected final boolean dropsExcess() {
+    protected final boolean discardsExcessInput() {
         if (busy) {
             keepAlive = false;
         }
@@ -116,7 +116,7 @@
     @Override
     protected final void written() {
         if (!busy && !reading) {
-            again();
+            processBufferedInput();
         }
     }
 
--- a/src/main/java/beechseam/library/Balancer.java
+++ b/src/main/java/beechseam/library/Balancer.java
@@ -1,15 +1,5 @@
 package beechseam.library;
 
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.Limits;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Reports;
-import beechseam.Dispatching.Rules;
-import beechseam.Dispatching.Settings;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
 import beechseam.core.Attempt;
 import beechseam.core.Counters;
 import beechseam.core.Egress;
@@ -17,6 +7,16 @@
 import beechseam.core.Ingress;
 import beechseam.core.Request;
 import beechseam.core.Timer;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.Job;
+import beechseam.dispatch.JobClass;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.LoadReportSource;
+import beechseam.dispatch.WorkerEndpoint;
+import beechseam.dispatch.WorkerRules;
 import beechseam.net.EventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -69,8 +69,8 @@
             0,
             1e-9,
             1,
-            beechseam.Dispatching.Effect.UNSAFE,
-            beechseam.Dispatching.Group.CELL,
+            beechseam.dispatch.Idempotency.NON_IDEMPOTENT,
+            beechseam.dispatch.DeduplicationScope.CELL,
             0,
             "");
 
@@ -135,10 +135,10 @@
          * What the module is told of its load; null where its slots are not known, as own attempts say
          * enough.
          */
-        Load load() {
+        LoadReport load() {
             return target.slots() == 0
                     ? null
-                    : new Load(out, 0, Math.max(0, target.slots() - out), Double.NaN, Double.NaN);
+                    : new LoadReport(out, 0, Math.max(0, target.slots() - out), Double.NaN, Double.NaN);
         }
     }
 
@@ -153,9 +153,9 @@
             classes.add(each.toClass());
         }
         classes.add(PACE);
-        Limits limits =
-                new Limits(b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.copies, 0);
-        Rules rules = new Rules(
+        DispatchLimits limits = new DispatchLimits(
+                b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.copies, 0);
+        WorkerRules rules = new WorkerRules(
                 0,
                 Long.MAX_VALUE,
                 b.coldShare,
@@ -163,8 +163,21 @@
                 b.coldLimit,
                 b.coldFor.isZero() ? 0 : b.coldSpan.toNanos(),
                 false);
-        Settings settings = new Settings(
-                classes, limits, rules, Reports.ANSWERS, false, 1, 0, b.zone, true, 0, b.crossZonePrice, 0, 0, false);
+        DispatchSettings settings = new DispatchSettings(
+                classes,
+                limits,
+                rules,
+                LoadReportSource.ANSWERS,
+                false,
+                1,
+                0,
+                b.zone,
+                true,
+                0,
+                b.crossZonePrice,
+                0,
+                0,
+                false);
         fallback = new ThreadPoolExecutor(1, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
             Thread t = new Thread(task, "beechseam-answers");
             t.setDaemon(true);
@@ -424,7 +437,7 @@
     }
 
     private void list(List<Target> now) {
-        List<Worker> lines = new ArrayList<>();
+        List<WorkerEndpoint> lines = new ArrayList<>();
         Set<String> listed = new HashSet<>();
         long at = loop.now();
         for (Target t : now) {
@@ -433,15 +446,20 @@
             byNumber.put(p.number, p);
             p.target = t;
             long startedAt = p.startedAt(t.started(), at, listedAt);
-            lines.add(new Worker(
-                    p.number, t.cell(), t.zone(), t.kind(), startedAt, t.draining() ? State.DRAINING : State.READY));
-        }
-        engine.routes(ListForm.FULL, lines);
+            lines.add(new WorkerEndpoint(
+                    p.number,
+                    t.cell(),
+                    t.zone(),
+                    t.kind(),
+                    startedAt,
+                    t.draining() ? EndpointState.DRAINING : EndpointState.READY));
+        }
+        engine.updateEndpoints(EndpointUpdate.SNAPSHOT, lines);
         listedAt = at;
         for (Target t : now) {
             Place p = byId.get(t.id());
             if (p.load() != null) {
-                engine.probed(p.number, true, p.load());
+                engine.healthCheckCompleted(p.number, true, p.load());
             }
         }
         byId.keySet().retainAll(listed);
@@ -496,7 +514,7 @@
                 return;
             }
             open.add(this);
-            request = engine.take(Long.toString(++lastName), new Job(0, type, budgetNs, 0, 1, 0, true), this, this);
+            request = engine.submit(Long.toString(++lastName), new Job(0, type, budgetNs, 0, 1, 0, true), this, this);
         }
 
         @Override
@@ -505,7 +523,7 @@
             if (first) {
                 loop.post(() -> {
                     if (open.remove(this)) {
-                        engine.left(request);
+                        engine.clientDisconnected(request);
                     }
                 });
             }
@@ -516,7 +534,7 @@
         void giveUp() {
             boolean begun = attempts > 0;
             end(begun ? new Outcome.Failed<>(false, CLOSED) : new Outcome.Refused<>(Optional.empty(), CLOSED));
-            engine.left(request);
+            engine.clientDisconnected(request);
         }
 
         private void end(Outcome<R> outcome) {
@@ -560,33 +578,33 @@
         @SuppressWarnings("unchecked")
         public void send(Attempt attempt) {
             Place place = byNumber.get(attempt.target);
-            if (place == null || !engine.routes().serving(attempt.target)) {
-                engine.ended(attempt, beechseam.Dispatching.Outcome.NOT_SENT, null, null);
+            if (place == null || !engine.routeTable().acceptsNewWork(attempt.target)) {
+                engine.attemptEnded(attempt, beechseam.dispatch.Outcome.NOT_SENT, null, null);
                 return;
             }
             Try sending = new Try((Dispatched) attempt.request.message, attempt, place);
-            attempt.carrier = sending;
+            attempt.exchange = sending;
             place.out++;
             sending.of.attempts++;
             attempt.begun();
             if (!run(sending::send)) {
                 sending.of.attempts--;
-                sending.end(beechseam.Dispatching.Outcome.NOT_SENT, null);
+                sending.end(beechseam.dispatch.Outcome.NOT_SENT, null);
             }
         }
 
         @Override
         @SuppressWarnings("unchecked")
         public void cancel(Attempt attempt) {
-            if (attempt.carrier != null) {
-                ((Try) attempt.carrier).cancel();
+            if (attempt.exchange != null) {
+                ((Try) attempt.exchange).cancel();
             }
         }
 
         @Override
-        public void probe(long target) {
+        public void healthCheck(long target) {
             Place place = byNumber.get(target);
-            engine.probed(target, place != null, place == null ? null : place.load());
+            engine.healthCheckCompleted(target, place != null, place == null ? null : place.load());
         }
     }
 
@@ -625,24 +643,24 @@
             Throwable cause =
                     wrong instanceof CompletionException && wrong.getCause() != null ? wrong.getCause() : wrong;
             loop.post(() -> {
-                if (cause == null && of.servedBy == null && !attempt.over()) {
+                if (cause == null && of.servedBy == null && !attempt.hasEnded()) {
                     of.value = value;
                     of.servedBy = target.id();
                 }
                 end(
                         cause == null
-                                ? beechseam.Dispatching.Outcome.SERVED
+                                ? beechseam.dispatch.Outcome.SERVED
                                 : !(cause instanceof NeverRanException never)
-                                        ? beechseam.Dispatching.Outcome.ERROR
+                                        ? beechseam.dispatch.Outcome.ERROR
                                         : never.reason() == NeverRanException.Reason.FULL
-                                                ? beechseam.Dispatching.Outcome.REFUSED
-                                                : beechseam.Dispatching.Outcome.UNREACHABLE,
+                                                ? beechseam.dispatch.Outcome.REJECTED
+                                                : beechseam.dispatch.Outcome.UNREACHABLE,
                         cause);
             });
         }
 
         /** On the loop's thread; once, also when nobody waits any more: the target is free only now. */
-        void end(beechseam.Dispatching.Outcome outcome, Throwable cause) {
+        void end(beechseam.dispatch.Outcome outcome, Throwable cause) {
             if (over) {
                 return;
             }
@@ -651,7 +669,7 @@
             if (cause != null && !(cause instanceof NeverRanException)) {
                 LOG.log(Level.DEBUG, "an attempt at " + target.id() + " has failed", cause);
             }
-            engine.ended(attempt, outcome, null, place.load());
+            engine.attemptEnded(attempt, outcome, null, place.load());
             if (place.out == 0 && byId.get(target.id()) != place) {
                 byNumber.remove(place.number);
             }
@@ -689,7 +707,7 @@
 
         @Override
         public void started() {
-            loop.post(() -> engine.started(attempt));
+            loop.post(() -> engine.attemptStarted(attempt));
         }
 
         @Override
@@ -698,8 +716,8 @@
                 throw new IllegalArgumentException("share: must be from 0 to 1, not " + share);
             }
             loop.post(() -> {
-                engine.progress(attempt, share);
-                if (of.progress != null && !attempt.over() && !of.isDone()) {
+                engine.attemptProgressed(attempt, share);
+                if (of.progress != null && !attempt.hasEnded() && !of.isDone()) {
                     run(() -> of.progress.accept(target, share));
                 }
             });
--- a/src/main/java/beechseam/library/JobType.java
+++ b/src/main/java/beechseam/library/JobType.java
@@ -1,7 +1,7 @@
 package beechseam.library;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.JobClass;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.JobClass;
 import java.time.Duration;
 import java.util.Objects;
 
@@ -109,8 +109,12 @@
                 stretch,
                 worth,
                 lateWorth,
-                Effect.valueOf(repeats.name()),
-                beechseam.Dispatching.Group.valueOf(group.name()),
+                switch (repeats) {
+                    case SAFE -> Idempotency.IDEMPOTENT;
+                    case KEYED -> Idempotency.KEYED;
+                    case UNSAFE -> Idempotency.NON_IDEMPOTENT;
+                },
+                beechseam.dispatch.DeduplicationScope.valueOf(group.name()),
                 window.toNanos(),
                 kind);
     }
--- a/src/main/java/beechseam/load/ListIntake.java
+++ b/src/main/java/beechseam/load/ListIntake.java
@@ -1,7 +1,5 @@
 package beechseam.load;
 
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Worker;
 import beechseam.config.Json;
 import beechseam.config.MemberList;
 import beechseam.config.ModuleOptions;
@@ -9,6 +7,8 @@
 import beechseam.core.Counters;
 import beechseam.core.Egress;
 import beechseam.core.Engine;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.WorkerEndpoint;
 import beechseam.net.TimerQueue;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -62,7 +62,7 @@
             long start = System.nanoTime();
             MemberList list = MemberList.of((Map<?, ?>) Json.parse(text, 0, text.length), why -> {});
             long read = System.nanoTime();
-            engine.routes(ListForm.FULL, workers(list));
+            engine.updateEndpoints(EndpointUpdate.SNAPSHOT, workers(list));
             long taken = System.nanoTime();
             if (i >= 0) {
                 reading.recordValue(read - start);
@@ -100,8 +100,8 @@
         return text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<Worker> workers(MemberList list) {
-        List<Worker> workers = new ArrayList<>(list.servers().size());
+    private static List<WorkerEndpoint> workers(MemberList list) {
+        List<WorkerEndpoint> workers = new ArrayList<>(list.servers().size());
         for (MemberList.Server each : list.servers()) {
             workers.add(each.worker(Long.parseLong(each.id().substring(2), 16), 0));
         }
@@ -121,7 +121,7 @@
         }
 
         @Override
-        public void probe(long target) {
+        public void healthCheck(long target) {
             // The module may probe as soon as it knows a server; nobody answers.
         }
     }
--- a/src/main/java/beechseam/load/Speaker.java
+++ b/src/main/java/beechseam/load/Speaker.java
@@ -21,12 +21,12 @@
     }
 
     @Override
-    protected long mostWaiting() {
+    protected long maxUnwrittenBytes() {
         return 1L << 32;
     }
 
     @Override
-    protected boolean writesByTurn() {
+    protected boolean batchesWrites() {
         return true;
     }
 
--- a/src/main/java/beechseam/net/Connection.java
+++ b/src/main/java/beechseam/net/Connection.java
@@ -25,7 +25,7 @@
     protected final EventLoop loop;
     private final SocketChannel channel;
     private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private final int mostRead;
+    private final int maxReadBytes;
     private SelectionKey key;
     private ByteBuffer in;
     private long waitingBytes;
@@ -43,10 +43,10 @@
     private long lastActivity;
     private final ArrivalTimes arrivals = new ArrivalTimes();
 
-    /** An accepted channel, or null for one that {@link #connect} opens; {@code mostRead} bytes are held. */
-    protected Connection(EventLoop loop, SocketChannel channel, int mostRead) throws IOException {
+    /** An accepted channel, or null for one that {@link #connect} opens; {@code maxReadBytes} bytes are held. */
+    protected Connection(EventLoop loop, SocketChannel channel, int maxReadBytes) throws IOException {
         this.loop = loop;
-        this.mostRead = mostRead;
+        this.maxReadBytes = maxReadBytes;
         this.channel = channel != null ? channel : SocketChannel.open();
         this.channel.configureBlocking(false);
         if (this.channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) { // no Unix socket
@@ -71,12 +71,12 @@
     protected abstract void lost(IOException why);
 
     /** The most bytes that may wait to be written: a peer that reads no answers must not fill the heap. */
-    protected long mostWaiting() {
+    protected long maxUnwrittenBytes() {
         return MOST_WAITING;
     }
 
     /** The most that is read and dropped from a peer that goes on sending after the last answer, in bytes. */
-    protected long mostDiscarded() {
+    protected long maxDiscardedBytes() {
         return MOST_DISCARDED;
     }
 
@@ -84,7 +84,7 @@
      * Whether a read goes on to what the peer has sent last, its end included, before the bytes are offered:
      * an owner that acts on a request wants to know by then whether the peer has gone behind it.
      */
-    protected boolean readsToEnd() {
+    protected boolean readsUntilPeerCloses() {
         return false;
     }
 
@@ -93,7 +93,7 @@
      * true drops all that is in it and that still comes, up to {@link #mostDiscarded}, so that the peer's
      * close is still noticed.
      */
-    protected boolean dropsExcess() {
+    protected boolean discardsExcessInput() {
         return false;
     }
 
@@ -101,7 +101,7 @@
      * Whether what is written waits for the end of the loop's turn, so that many small messages of one turn
      * go out in one call of the system; more than a piece never waits.
      */
-    protected boolean writesByTurn() {
+    protected boolean batchesWrites() {
         return false;
     }
 
@@ -120,7 +120,7 @@
             interest();
         }
         if (!on) { // not within a callback of this or another connection, which may still hold the buffer
-            loop.post(this::again);
+            loop.post(this::processBufferedInput);
         }
     }
 
@@ -154,7 +154,7 @@
         if (connecting) {
             return;
         }
-        if (!writesByTurn() || waitingBytes > PIECE) {
+        if (!batchesWrites() || waitingBytes > PIECE) {
             flush();
         } else if (!flushDue) {
             flushDue = true;
@@ -279,7 +279,7 @@
     }
 
     /** Bytes read and not used up are offered again. */
-    public final void again() {
+    public final void processBufferedInput() {
         if (in != null && !closed && !readPaused && in.position() > 0) {
             offer();
             if (!closed) {
@@ -344,7 +344,7 @@
             in.clear();
         }
         if (!in.hasRemaining()) {
-            ByteBuffer larger = loop.buffers.larger(in, Math.min(mostRead, in.capacity() * 2));
+            ByteBuffer larger = loop.buffers.larger(in, Math.min(maxReadBytes, in.capacity() * 2));
             if (larger == null) {
                 throw new IOException("no room for so long a message");
             }
@@ -355,7 +355,7 @@
         do { // a buffer that is filled is offered first: what comes behind a long message may wait
             n = channel.read(in);
             sum += Math.max(0, n);
-        } while (n > 0 && in.hasRemaining() && readsToEnd());
+        } while (n > 0 && in.hasRemaining() && readsUntilPeerCloses());
         peerEnded = n < 0;
         if (peerEnded && sum == 0) {
             throw new IOException("closed by the peer");
@@ -363,7 +363,7 @@
         if (sum > 0 && (ending || dropping)) {
             in.clear();
             discarded += sum;
-            if (discarded > mostDiscarded()) {
+            if (discarded > maxDiscardedBytes()) {
                 if (ending) {
                     close();
                 } else {
@@ -411,8 +411,8 @@
     }
 
     private void interest() {
-        full = in != null && in.position() >= mostRead && !ending && !dropping;
-        if (full && !offering && dropsExcess()) {
+        full = in != null && in.position() >= maxReadBytes && !ending && !dropping;
+        if (full && !offering && discardsExcessInput()) {
             dropping = true;
             full = false;
             loop.buffers.give(in);
@@ -473,7 +473,7 @@
             fail(e);
             return;
         }
-        if (waitingBytes > mostWaiting()) {
+        if (waitingBytes > maxUnwrittenBytes()) {
             fail(new IOException("the peer does not read"));
         } else if (waitingBytes == 0 && closeWhenWritten) {
             finish();
--- a/src/main/java/beechseam/ops/HandoverLink.java
+++ b/src/main/java/beechseam/ops/HandoverLink.java
@@ -26,22 +26,22 @@
     /** What the link asks and tells of the process it serves. */
     public interface Process {
         /** Operators' calls that bring a younger process to this one's state. */
-        Iterable<String> state();
+        Iterable<String> currentState();
 
         /** What this process has learned, in pieces that each fit a frame. */
-        Iterable<byte[]> learned();
+        Iterable<byte[]> learnedState();
 
         /** A piece of what an older process had learned; void after the call. */
-        void recall(ByteBuffer piece);
+        void learnedStateReceived(ByteBuffer piece);
 
         /** A call that was made at the other process. */
-        void call(String line);
+        void callReceived(String line);
 
         /** A call-back that came to the other process and is of no job there; void after the call. */
-        void event(ByteBuffer body);
+        void callbackReceived(ByteBuffer body);
 
         /** A process has come or gone, or has said that it serves clients. */
-        void linked();
+        void peersChanged();
     }
 
     private enum Kind {
@@ -54,14 +54,14 @@
     }
 
     private static final Logger LOG = System.getLogger(HandoverLink.class.getName());
-    private static final int MOST_FRAME = 128 * 1024;
-    private static final int HEAD = 5;
+    private static final int MAX_FRAME_BYTES = 128 * 1024;
+    private static final int FRAME_HEADER_BYTES = 5;
     /** The most bytes that a piece of what was learned may have. */
-    public static final int MOST_PIECE = MOST_FRAME - HEAD;
+    public static final int MAX_PIECE_BYTES = MAX_FRAME_BYTES - FRAME_HEADER_BYTES;
 
     private final EventLoop loop;
     private final Process process;
-    private final Set<Line> lines = new LinkedHashSet<>();
+    private final Set<PeerConnection> peers = new LinkedHashSet<>();
     private Listener listener;
     private Path own;
 
@@ -73,7 +73,8 @@
         String name = prefix + Integer.toHexString(ThreadLocalRandom.current().nextInt(1 << 24, 1 << 28));
         try {
             own = directory.resolve(name + ".sock");
-            listener = new Listener(loop, UnixDomainSocketAddress.of(own), channel -> new Line(channel, false));
+            listener =
+                    new Listener(loop, UnixDomainSocketAddress.of(own), channel -> new PeerConnection(channel, false));
             try (DirectoryStream<Path> others = Files.newDirectoryStream(directory, prefix + "*.sock")) {
                 for (Path each : others) {
                     if (!each.equals(own)) {
@@ -88,7 +89,7 @@
 
     private void dial(Path path) throws IOException {
         try {
-            new Line(SocketChannel.open(UnixDomainSocketAddress.of(path)), true);
+            new PeerConnection(SocketChannel.open(UnixDomainSocketAddress.of(path)), true);
         } catch (IOException e) {
             LOG.log(Level.INFO, "a socket that nobody serves is removed: " + path.getFileName());
             Files.deleteIfExists(path);
@@ -96,47 +97,47 @@
     }
 
     /** How many other processes of this node live. */
-    public int others() {
-        return lines.size();
+    public int peerCount() {
+        return peers.size();
     }
 
     /** Whether an older process lives whose state has not come yet. */
-    public boolean unwelcomed() {
-        return lines.stream().anyMatch(each -> each.elder && !each.welcomed);
+    public boolean awaitsPeerState() {
+        return peers.stream().anyMatch(each -> each.elder && !each.welcomed);
     }
 
     /** Tells older processes that this one serves clients. */
     public void ready() {
-        lines.stream().filter(each -> each.elder).forEach(each -> each.send(Kind.READY));
+        peers.stream().filter(each -> each.elder).forEach(each -> each.send(Kind.READY));
     }
 
     /** Whether an older process lives that has not noted {@link #ready}. */
-    public boolean unseen() {
-        return lines.stream().anyMatch(each -> each.elder && !each.seen);
+    public boolean awaitsReadyAcknowledgement() {
+        return peers.stream().anyMatch(each -> each.elder && !each.seen);
     }
 
     /** Whether a younger process serves clients: it can take over. */
-    public boolean successor() {
-        return lines.stream().anyMatch(each -> each.ready);
+    public boolean hasSuccessor() {
+        return peers.stream().anyMatch(each -> each.ready);
     }
 
     /** Passes on a call that was made here. */
-    public void call(String line) {
-        lines.forEach(each -> each.send(Kind.CALL, line));
+    public void sendCall(String line) {
+        peers.forEach(each -> each.send(Kind.CALL, line));
     }
 
     /** Passes on a call-back that is of no job here; false where nobody is there to take it. */
-    public boolean event(byte[] text, int from, int length) {
-        lines.forEach(each -> each.send(Kind.EVENT, text, from, length));
-        return !lines.isEmpty();
+    public boolean forwardCallback(byte[] text, int from, int length) {
+        peers.forEach(each -> each.send(Kind.EVENT, text, from, length));
+        return !peers.isEmpty();
     }
 
     public void close() {
         if (listener != null) {
             listener.close();
         }
-        Set<Line> last = Set.copyOf(lines);
-        lines.clear(); // it is this process that ends: no news to itself
+        Set<PeerConnection> last = Set.copyOf(peers);
+        peers.clear(); // it is this process that ends: no news to itself
         last.forEach(Connection::close);
         try {
             Files.deleteIfExists(own);
@@ -146,7 +147,7 @@
     }
 
     /** A connection to one other process. A frame is a kind, a length of four bytes, and as many bytes. */
-    private final class Line extends Connection {
+    private final class PeerConnection extends Connection {
         final boolean elder;
         boolean welcomed;
         boolean ready;
@@ -154,24 +155,24 @@
         /** What this process hands over at once may wait to be read, whatever its size. */
         private long handedOver;
 
-        Line(SocketChannel channel, boolean elder) throws IOException {
-            super(HandoverLink.this.loop, channel, MOST_FRAME);
+        PeerConnection(SocketChannel channel, boolean elder) throws IOException {
+            super(HandoverLink.this.loop, channel, MAX_FRAME_BYTES);
             this.elder = elder;
-            lines.add(this);
+            peers.add(this);
             if (!elder) {
-                process.state().forEach(each -> send(Kind.CALL, each));
-                for (byte[] each : process.learned()) {
-                    handedOver += HEAD + each.length;
+                process.currentState().forEach(each -> send(Kind.CALL, each));
+                for (byte[] each : process.learnedState()) {
+                    handedOver += FRAME_HEADER_BYTES + each.length;
                     send(Kind.LEARNED, each, 0, each.length);
                 }
                 send(Kind.WELCOME);
-                process.linked();
+                process.peersChanged();
             }
         }
 
         @Override
-        protected long mostWaiting() {
-            return handedOver + super.mostWaiting();
+        protected long maxUnwrittenBytes() {
+            return handedOver + super.maxUnwrittenBytes();
         }
 
         void send(Kind kind) {
@@ -184,7 +185,7 @@
         }
 
         void send(Kind kind, byte[] text, int from, int length) {
-            write(ByteBuffer.allocate(HEAD + length)
+            write(ByteBuffer.allocate(FRAME_HEADER_BYTES + length)
                     .put((byte) kind.ordinal())
                     .putInt(length)
                     .put(text, from, length)
@@ -193,34 +194,38 @@
 
         @Override
         protected void received(ByteBuffer in) {
-            while (!closed() && in.remaining() >= HEAD) {
+            while (!closed() && in.remaining() >= FRAME_HEADER_BYTES) {
                 int kind = in.get(in.position());
                 int length = in.getInt(in.position() + 1);
-                if (kind < 0 || kind >= Kind.values().length || length < 0 || length > MOST_FRAME - HEAD) {
+                if (kind < 0
+                        || kind >= Kind.values().length
+                        || length < 0
+                        || length > MAX_FRAME_BYTES - FRAME_HEADER_BYTES) {
                     fail(new IOException("not a frame")); // a process of another version
                     return;
                 }
-                if (in.remaining() < HEAD + length) {
+                if (in.remaining() < FRAME_HEADER_BYTES + length) {
                     return;
                 }
-                ByteBuffer body = in.slice(in.position() + HEAD, length);
-                in.position(in.position() + HEAD + length);
+                ByteBuffer body = in.slice(in.position() + FRAME_HEADER_BYTES, length);
+                in.position(in.position() + FRAME_HEADER_BYTES + length);
                 frame(Kind.values()[kind], body);
             }
         }
 
         private void frame(Kind kind, ByteBuffer body) {
             switch (kind) {
-                case LEARNED -> process.recall(body);
+                case LEARNED -> process.learnedStateReceived(body);
                 case WELCOME -> welcomed = true;
                 case READY -> {
                     ready = true;
                     send(Kind.SEEN);
-                    process.linked();
+                    process.peersChanged();
                 }
                 case SEEN -> seen = true;
-                case CALL -> process.call(StandardCharsets.UTF_8.decode(body).toString());
-                case EVENT -> process.event(body);
+                case CALL ->
+                    process.callReceived(StandardCharsets.UTF_8.decode(body).toString());
+                case EVENT -> process.callbackReceived(body);
             }
         }
 
@@ -231,8 +236,8 @@
 
         @Override
         protected void released() {
-            if (lines.remove(this)) {
-                process.linked();
+            if (peers.remove(this)) {
+                process.peersChanged();
             }
         }
     }
--- a/src/main/java/beechseam/platform/Callbacks.java
+++ b/src/main/java/beechseam/platform/Callbacks.java
@@ -1,12 +1,12 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Outcome;
 import beechseam.config.Json;
 import beechseam.config.ModuleOptions;
 import beechseam.core.Attempt;
 import beechseam.core.Engine;
 import beechseam.core.Request;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.Outcome;
 import beechseam.http.Slice;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -21,13 +21,13 @@
 final class Callbacks {
     private final Engine engine;
     private final ModuleOptions options;
-    private final Predicate<Slice> elsewhere;
+    private final Predicate<Slice> forwardToPeer;
 
-    /** {@code elsewhere} hands an event to the other processes of this node, and is false where none is. */
-    Callbacks(Engine engine, ModuleOptions options, Predicate<Slice> elsewhere) {
+    /** {@code forwardToPeer} hands an event to the other processes of this node, and is false where none is. */
+    Callbacks(Engine engine, ModuleOptions options, Predicate<Slice> forwardToPeer) {
         this.engine = engine;
         this.options = options;
-        this.elsewhere = elsewhere;
+        this.forwardToPeer = forwardToPeer;
     }
 
     /** Whether the body was an event at all. One for a job that is not here may be another process's. */
@@ -36,7 +36,7 @@
     }
 
     /** One that another process had no job for: it goes no further. */
-    void passed(Slice body) {
+    void handleForwarded(Slice body) {
         take(body, false);
     }
 
@@ -53,8 +53,8 @@
                 || !(event.get("state") instanceof String state)) {
             return false;
         }
-        Request request = engine.find(id);
-        if (request == null && first && elsewhere.test(body)) {
+        Request request = engine.findRequest(id);
+        if (request == null && first && forwardToPeer.test(body)) {
             return true;
         }
         Attempt attempt = request == null ? null : request.attemptAt(Wire.target(from));
@@ -62,18 +62,18 @@
             engine.counters().lateCallbacks++;
             return true;
         }
-        Load load = event.get("load") instanceof Map<?, ?> report ? Wire.load(options, report) : null;
+        LoadReport load = event.get("load") instanceof Map<?, ?> report ? Wire.load(options, report) : null;
         switch (state) {
-            case "started" -> engine.started(attempt);
+            case "started" -> engine.attemptStarted(attempt);
             case "running" -> {
                 if (event.get("share") instanceof Number share) {
-                    engine.progress(attempt, share.doubleValue());
+                    engine.attemptProgressed(attempt, share.doubleValue());
                 }
             }
-            case "done" -> engine.ended(attempt, Outcome.SERVED, result(event.get("result")), load);
-            case "failed" -> engine.ended(attempt, Outcome.ERROR, null, load);
-            case "returned" -> engine.ended(attempt, Outcome.REFUSED, null, load);
-            case "lost" -> engine.ended(attempt, Outcome.LOST, null, load);
+            case "done" -> engine.attemptEnded(attempt, Outcome.SERVED, result(event.get("result")), load);
+            case "failed" -> engine.attemptEnded(attempt, Outcome.ERROR, null, load);
+            case "returned" -> engine.attemptEnded(attempt, Outcome.REJECTED, null, load);
+            case "lost" -> engine.attemptEnded(attempt, Outcome.LOST, null, load);
             default -> {} // a state of a later version of the protocol
         }
         return true;
--- a/src/main/java/beechseam/platform/Discovery.java
+++ b/src/main/java/beechseam/platform/Discovery.java
@@ -1,11 +1,11 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
 import beechseam.config.Json;
 import beechseam.config.MemberList;
 import beechseam.core.Engine;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.WorkerEndpoint;
 import beechseam.http.HttpException;
 import beechseam.http.HttpParser;
 import beechseam.http.HttpWriter;
@@ -73,14 +73,14 @@
     /** The list as held before the start: it may be old, so the whole list is asked for all the same. */
     void start(MemberList known) {
         if (!known.servers().isEmpty()) {
-            take(known, ListForm.CACHED);
+            take(known, EndpointUpdate.CACHED);
         }
         watch.start(known);
     }
 
     /** Whether discovery has answered since the start. */
-    boolean held() {
-        return watch.held();
+    boolean isSynced() {
+        return watch.isSynced();
     }
 
     /** Whether the route table may be acted on. */
@@ -179,11 +179,11 @@
     }
 
     @Override
-    public void take(MemberList list, ListForm form) {
-        List<Worker> lines = new ArrayList<>();
+    public void take(MemberList list, EndpointUpdate form) {
+        List<WorkerEndpoint> lines = new ArrayList<>();
         Set<Long> named = new HashSet<>();
         Set<String> ids = new HashSet<>(list.unusable());
-        startTimes.begin(form == ListForm.CACHED);
+        startTimes.begin(form == EndpointUpdate.CACHED);
         for (MemberList.Server s : list.servers()) {
             long id = Wire.target(s.id());
             if (id < 0) {
@@ -193,23 +193,25 @@
             maintenance.listed(s.id(), id);
             lines.add(s.worker(id, startTimes.of(s)));
             ids.add(s.id());
-            if (s.state() != State.GONE) {
+            if (s.state() != EndpointState.REMOVED) {
                 named.add(id);
                 pool.put(id, s.addr(), s.address());
             }
         }
         for (String each : list.unusable()) { // what is held of it stays
-            Worker held = engine.routes().listed(Wire.target(each));
+            WorkerEndpoint held = engine.routeTable().listed(Wire.target(each));
             if (held != null && named.add(held.id())) {
                 lines.add(held);
             }
         }
-        engine.routes(form, lines);
-        if (form != ListForm.CHANGES) {
+        engine.updateEndpoints(form, lines);
+        if (form != EndpointUpdate.DELTA) {
             pool.retain(named);
             startTimes.retain(ids);
         } else {
-            lines.stream().filter(each -> each.state() == State.GONE).forEach(each -> pool.remove(each.id()));
+            lines.stream()
+                    .filter(each -> each.state() == EndpointState.REMOVED)
+                    .forEach(each -> pool.remove(each.id()));
         }
     }
 
--- a/src/main/java/beechseam/platform/IngressConnection.java
+++ b/src/main/java/beechseam/platform/IngressConnection.java
@@ -1,11 +1,11 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.Limits;
 import beechseam.core.Ingress;
 import beechseam.core.Request;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.Job;
+import beechseam.dispatch.JobClass;
 import beechseam.http.HttpException;
 import beechseam.http.HttpParser;
 import beechseam.http.ServerConnection;
@@ -96,8 +96,8 @@
         } else if (key == null ? keyed(jobClass) : !key.isVisible()) {
             bad(400, "Idempotency-Key is missing or malformed");
         } else if (peerEnded()) {
-            node.counters.left++; // gone behind its request: nobody is there to answer, nothing is sent
-            node.counters.taken++;
+            node.counters.clientsDisconnected++; // gone behind its request: nobody is there to answer, nothing is sent
+            node.counters.requestsAccepted++;
         } else if (node.ingress().crowded() || node.shedding()) {
             turnAway(jobClass);
         } else {
@@ -121,13 +121,13 @@
     /** Shed before the module has seen it: nothing of it has been sent. */
     private void turnAway(int jobClass) {
         node.counters.of(jobClass).crowdedOut++;
-        Limits limits = node.options.settings.limits();
+        DispatchLimits limits = node.options.settings.limits();
         refuse(limits.retryAfter() ? limits.maxRetryAfterNs() : 0);
     }
 
     private boolean keyed(int jobClass) {
         JobClass c = node.options.settings.classes().get(jobClass);
-        return c.effect() == Effect.KEYED;
+        return c.idempotency() == Idempotency.KEYED;
     }
 
     private void bad(int status, String why) {
@@ -157,7 +157,7 @@
         boolean firstTry = node.options.marksRetries && m.header("x-repeat") == null;
         Job job = new Job(0, jobClass, budget, 0, slots > 0 ? slots : 1, memory >= 0 ? memory : 0, firstTry);
         taking = true;
-        Request taken = node.engine.take(id.toString(), job, message, this);
+        Request taken = node.engine.submit(id.toString(), job, message, this);
         taking = false;
         if (taken == null) {
             bad(409, "a request with this X-Correlation-Id is still open");
@@ -197,7 +197,7 @@
 
     /** A close may have come in this very turn, or while this node had no processor time: read first. */
     @Override
-    public boolean waits(Request r) {
+    public boolean isClientConnected(Request r) {
         catchUp();
         return request == r || taking;
     }
@@ -222,7 +222,7 @@
         if (request != null) {
             Request gone = request;
             letGo();
-            node.engine.left(gone);
+            node.engine.clientDisconnected(gone);
         }
     }
 
--- a/src/main/java/beechseam/platform/ListWatch.java
+++ b/src/main/java/beechseam/platform/ListWatch.java
@@ -1,9 +1,9 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.ListForm;
 import beechseam.config.MemberList;
 import beechseam.core.Timer;
 import beechseam.core.Timers;
+import beechseam.dispatch.EndpointUpdate;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.function.LongSupplier;
@@ -46,7 +46,7 @@
         void cancel(Call call);
 
         /** A list, or what has changed in it. */
-        void take(MemberList list, ListForm form);
+        void take(MemberList list, EndpointUpdate form);
 
         /** For the log: the first of a row of failures, or a further one. */
         void failed(String why, boolean first);
@@ -135,7 +135,7 @@
     }
 
     /** Whether discovery has answered since the start. */
-    boolean held() {
+    boolean isSynced() {
         return held;
     }
 
@@ -185,7 +185,7 @@
         version = list.version();
         hasFullList = true;
         held = true;
-        transport.take(list, changes ? ListForm.CHANGES : ListForm.FULL);
+        transport.take(list, changes ? EndpointUpdate.DELTA : EndpointUpdate.SNAPSHOT);
         failing = false;
         // After an answer that came late the next call may not wait.
         healthy = freshness.answered(call.askedAt, call.firstHeardAt);
--- a/src/main/java/beechseam/platform/Maintenance.java
+++ b/src/main/java/beechseam/platform/Maintenance.java
@@ -39,7 +39,7 @@
             if (target >= 0) {
                 listed(id, target);
                 // By the wall clock as it was then: one that lies ahead has been stepped since.
-                engine.maintain(target, back == 0, Math.min(back, engine.now()));
+                engine.setMaintenance(target, back == 0, Math.min(back, engine.now()));
             }
         });
     }
@@ -56,7 +56,7 @@
         if (out != isOut(id)) {
             long back = out ? 0 : engine.now();
             said.put(id, back);
-            engine.maintain(target, out, back);
+            engine.setMaintenance(target, out, back);
             unkept |= keep && kept != null;
         }
         unkept = unkept && !kept.write(said); // said again, it is kept if it can be now
--- a/src/main/java/beechseam/platform/PlatformEgress.java
+++ b/src/main/java/beechseam/platform/PlatformEgress.java
@@ -1,13 +1,13 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Outcome;
 import beechseam.config.Json;
 import beechseam.config.ModuleOptions;
 import beechseam.core.Attempt;
 import beechseam.core.Egress;
 import beechseam.core.Engine;
 import beechseam.core.Timer;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.Outcome;
 import beechseam.http.HttpParser;
 import beechseam.http.HttpWriter;
 import beechseam.http.Slice;
@@ -36,34 +36,34 @@
     public void send(Attempt attempt) {
         EgressPool.Target target = pool.target(attempt.target);
         if (target == null) {
-            engine.ended(attempt, Outcome.NOT_SENT, null, null);
+            engine.attemptEnded(attempt, Outcome.NOT_SENT, null, null);
             return;
         }
         Handing handing = new Handing(attempt, target);
-        attempt.carrier = handing;
+        attempt.exchange = handing;
         pool.send(target, handing);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        if (attempt.carrier instanceof Handing handing) {
+        if (attempt.exchange instanceof Handing handing) {
             handing.giveUp();
         }
     }
 
     @Override
-    public boolean takeBack(Attempt attempt) {
-        if (attempt.carrier instanceof Handing handing) {
+    public boolean recall(Attempt attempt) {
+        if (attempt.exchange instanceof Handing handing) {
             handing.takeBack();
         }
         return false;
     }
 
     @Override
-    public void probe(long id) {
+    public void healthCheck(long id) {
         EgressPool.Target target = pool.target(id);
         if (target == null) {
-            engine.probed(id, false, null);
+            engine.healthCheckCompleted(id, false, null);
         } else {
             pool.send(target, new Probe(target));
         }
@@ -90,12 +90,12 @@
 
         @Override
         boolean wanted() {
-            return !givenUp && engine.begins(attempt);
+            return !givenUp && engine.tryBegin(attempt);
         }
 
         @Override
         ByteBuffer bytes() {
-            attempt.lingers(true);
+            attempt.awaitsConfirmation(true);
             JobMessage m = (JobMessage) attempt.request.message;
             long leftMs = Math.max(1, (attempt.request.deadlineAt - engine.now()) / 1_000_000L);
             return HttpWriter.request(
@@ -112,15 +112,15 @@
         /** A close before the 202 gives the job up at the executor: only once the attempt has ended there. */
         @Override
         boolean outlived(long time) {
-            return attempt.over() && time - pool.connectTimeoutNs > writtenAt;
+            return attempt.hasEnded() && time - pool.connectTimeoutNs > writtenAt;
         }
 
         /** Its connection has fallen silent, or its machine has: the job may have run, or may yet. */
         private void silent() {
-            if (!attempt.over() && !attempt.heardOf()) {
+            if (!attempt.hasEnded() && !attempt.acknowledged()) {
                 engine.counters().silent++;
                 giveUp();
-                engine.ended(attempt, Outcome.TIMEOUT, null, null);
+                engine.attemptEnded(attempt, Outcome.TIMEOUT, null, null);
             }
         }
 
@@ -133,11 +133,11 @@
                 return;
             }
             Slice unprocessed = answer.header("x-unprocessed");
-            attempt.lingers(attempt.heardOf()); // its answer is its end, unless call-backs have begun
+            attempt.awaitsConfirmation(attempt.acknowledged()); // its answer is its end, unless call-backs have begun
             boolean neverRan = (status == 503 || status == 504) && unprocessed != null && unprocessed.same("1");
-            engine.ended(
+            engine.attemptEnded(
                     attempt,
-                    neverRan ? Outcome.REFUSED : Outcome.ERROR,
+                    neverRan ? Outcome.REJECTED : Outcome.ERROR,
                     null,
                     Wire.load(options, answer.header("x-backend-load")));
         }
@@ -145,10 +145,10 @@
         @Override
         void broken(boolean neverRan) {
             pool.loop.timers.cancel(silence);
-            if (neverRan && !attempt.over()) {
-                attempt.lingers(false);
+            if (neverRan && !attempt.hasEnded()) {
+                attempt.awaitsConfirmation(false);
             }
-            engine.ended(attempt, neverRan ? Outcome.UNREACHABLE : Outcome.LOST, null, null);
+            engine.attemptEnded(attempt, neverRan ? Outcome.UNREACHABLE : Outcome.LOST, null, null);
         }
 
         /**
@@ -162,7 +162,7 @@
                         new Delete(
                                 target,
                                 attempt.request.correlation,
-                                () -> engine.ended(attempt, Outcome.CANCELLED, null, null)));
+                                () -> engine.attemptEnded(attempt, Outcome.CANCELLED, null, null)));
             }
         }
 
@@ -238,17 +238,17 @@
             pool.loop.timers.set(timeout, pool.loop.now() + PROBE_TIMEOUT_NS);
         }
 
-        private void tell(boolean answered, Load load) {
+        private void tell(boolean answered, LoadReport load) {
             if (!told) {
                 told = true;
                 pool.loop.timers.cancel(timeout);
-                engine.probed(target.id, answered, load);
+                engine.healthCheckCompleted(target.id, answered, load);
             }
         }
 
         @Override
         boolean wanted() {
-            boolean wanted = !told && engine.routes().serving(target.id);
+            boolean wanted = !told && engine.routeTable().acceptsNewWork(target.id);
             if (!wanted) {
                 tell(false, null);
             }
@@ -262,7 +262,7 @@
 
         @Override
         void answered(HttpParser answer) {
-            Load load = null;
+            LoadReport load = null;
             Slice body = answer.body();
             try {
                 if (body.length() > 0
--- a/src/main/java/beechseam/platform/PlatformNode.java
+++ b/src/main/java/beechseam/platform/PlatformNode.java
@@ -1,12 +1,12 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.JobClass;
 import beechseam.config.ConfigException;
 import beechseam.config.ModuleOptions;
 import beechseam.config.NodeConfig;
 import beechseam.core.Counters;
 import beechseam.core.Engine;
 import beechseam.core.Timer;
+import beechseam.dispatch.JobClass;
 import beechseam.http.Slice;
 import beechseam.net.EventLoop;
 import beechseam.net.Listener;
@@ -59,7 +59,7 @@
     private final EgressPool pool;
     private final Discovery discovery;
     private final AdminEndpoint admin;
-    private final Succession succession;
+    private final ProcessHandover handover;
     private Listener listener;
     private final IngressTable ingress = new IngressTable(this);
     private NodeConfig config;
@@ -84,13 +84,13 @@
         this.config = config;
         options = config.options();
         pool = new EgressPool(
-                loop, config.connectTimeoutNs(), options.settings.limits().idleCloseNs());
+                loop, config.connectTimeoutNs(), options.settings.limits().idleTimeoutNs());
         PlatformEgress egress = new PlatformEgress(pool, options);
         engine = new Engine(options.settings, config.seed(), loop::now, loop.timers, egress, counters);
         egress.attach(engine);
         statsReport = new StatsReport(engine, options.settings.classes());
         counters.confLoaded++;
-        callbacks = new Callbacks(engine, options, this::elsewhere);
+        callbacks = new Callbacks(engine, options, this::forwardToPeer);
         boolean keeps = config.console() != null && config.state() != null;
         maintenance = new Maintenance(engine, keeps ? new MaintenanceFile(config.state(), config.address()) : null);
         discovery = new Discovery(
@@ -101,12 +101,12 @@
                 pool,
                 maintenance,
                 options.settings.rules().drainGraceNs());
-        discovery.freshness().onOpen(() -> loop.atTurnEnd(engine::resume));
-        engine.gate(discovery.freshness());
+        discovery.freshness().onOpen(() -> loop.atTurnEnd(engine::resumeDeferred));
+        engine.useSendGate(discovery.freshness());
         discovery.start(config.known());
-        succession = keeps ? new Succession(this, config) : null;
-        share();
-        if (succession == null || succession.joined()) {
+        handover = keeps ? new ProcessHandover(this, config) : null;
+        allocateDescriptors();
+        if (handover == null || handover.joined()) {
             maintenance.restore();
             listen();
         }
@@ -116,7 +116,7 @@
 
     /** Takes clients, on an address that a successor may share later. */
     void listen() throws IOException {
-        listener = new Listener(loop, config.listen(), ingress::accept, succession != null);
+        listener = new Listener(loop, config.listen(), ingress::accept, handover != null);
         ingress.listener(listener);
         LOG.log(Level.INFO, config.name() + " listens on " + listener.address());
     }
@@ -126,17 +126,17 @@
     }
 
     /** Whether discovery has answered. */
-    boolean held() {
-        return discovery.held();
+    boolean isSynced() {
+        return discovery.isSynced();
     }
 
-    private boolean elsewhere(Slice event) {
-        return succession != null && succession.pass(event);
+    private boolean forwardToPeer(Slice event) {
+        return handover != null && handover.forwardToPeer(event);
     }
 
     /** Deals out the descriptors that the configuration grants, among the processes of the node. */
-    void share() {
-        int granted = config.sockets() / (succession == null ? 1 : succession.processes());
+    void allocateDescriptors() {
+        int granted = config.sockets() / (handover == null ? 1 : handover.processCount());
         int sockets = Math.max(16, granted - SPARE_SOCKETS);
         int mostEgress = sockets * 3 / 8;
         ingress.bound(sockets - mostEgress - 1);
@@ -159,17 +159,17 @@
         }
         config = next;
         counters.confLoaded++;
-        share();
+        allocateDescriptors();
         LOG.log(Level.INFO, "reload: done");
     }
 
     /** Where the configuration may be read again, should discovery not be where this node was told. */
-    public void rereads(Configuration configuration) {
+    public void reloadsFrom(Configuration configuration) {
         discovery.configuration(configuration);
     }
 
     /** A new configuration that cannot be used: the old one stays. */
-    public void refuseReload(String why) {
+    public void rejectReload(String why) {
         counters.confInvalid++;
         LOG.log(Level.ERROR, "reload: the old configuration stays: " + why);
     }
@@ -203,7 +203,7 @@
     }
 
     boolean handedOver() {
-        return succession != null && succession.handedOver();
+        return handover != null && handover.handedOver();
     }
 
     @Override
@@ -217,11 +217,14 @@
                 ? "stopping"
                 : standby()
                         ? "standby"
-                        : succession != null && !succession.joined()
+                        : handover != null && !handover.joined()
                                 ? "starting"
                                 : !mayGo
                                         ? "waiting for discovery's list"
-                                        : discovery.held() || engine.routes().size() > 0 ? null : "no route table yet";
+                                        : discovery.isSynced()
+                                                        || engine.routeTable().size() > 0
+                                                ? null
+                                                : "no route table yet";
     }
 
     boolean standby() {
@@ -235,7 +238,7 @@
 
     @Override
     public String maintenance(String id, boolean out) {
-        boolean told = succession != null && succession.told();
+        boolean told = handover != null && handover.isHandlingPeerCall();
         boolean before = maintenance.isOut(id);
         String why = maintenance.set(id, out, !told);
         if (before != maintenance.isOut(id)) {
@@ -246,8 +249,8 @@
     }
 
     private void tell(String call) {
-        if (succession != null) {
-            succession.tell(call);
+        if (handover != null) {
+            handover.notifyPeer(call);
         }
     }
 
@@ -300,12 +303,12 @@
                     .max()
                     .orElse(0);
             long last = KILL_NS + Math.min(MOST_COUNTED_NS, longest) - KILL_MARGIN_NS;
-            engine.lastAnswer(loop.now() + last);
+            engine.answerAllBy(loop.now() + last);
             // On standby clients have found other nodes: nothing is waited for.
             long late = drainSchedule != DrainSchedule.NONE
                     ? loop.now()
                     : loop.now() + Math.max(NEW_CONNECTIONS_NS, last - LAST_REQUEST_NS);
-            LOG.log(Level.INFO, "stopping with " + engine.open() + " open requests");
+            LOG.log(Level.INFO, "stopping with " + engine.openRequests() + " open requests");
             depart(late);
             loop.timers.set(drain, loop.now() + DRAIN_CHECK_NS); // the last who wait are accepted by then
         }
@@ -318,7 +321,7 @@
     /** The way of the end: clients go to another process of the node, or, where none takes them, stay on. */
     void depart(long late) {
         boolean before = handedOver();
-        boolean handsOver = succession != null && succession.handOver();
+        boolean handsOver = handover != null && handover.begin();
         drainSchedule = handsOver ? DrainSchedule.handOver(loop.now(), late) : DrainSchedule.stop(late);
         if (handsOver && !before) {
             LOG.log(Level.INFO, "clients go to the other process of this node");
@@ -334,7 +337,7 @@
     }
 
     /** A successor has come or gone while this process ends. */
-    void departAgain() {
+    void updateDrainSchedule() {
         depart(drainSchedule.clearsAt());
     }
 
@@ -344,7 +347,7 @@
             ingress.closeIdle(now, drainSchedule.sparesCallbacks());
         }
         // The listener stays to the last where it is the only one: call-backs come to it.
-        if (stopping && leaving() && engine.open() == 0 && ingress.drained(drainSchedule.sparesCallbacks())) {
+        if (stopping && leaving() && engine.openRequests() == 0 && ingress.drained(drainSchedule.sparesCallbacks())) {
             if (listener != null) {
                 listener.close();
             }
@@ -352,8 +355,8 @@
             if (admin != null) {
                 admin.close();
             }
-            if (succession != null) {
-                succession.close();
+            if (handover != null) {
+                handover.close();
             }
             discovery.stop();
             pool.close();
--- a/src/main/java/beechseam/platform/Succession.java
+++ b/src/main/java/beechseam/platform/ProcessHandover.java
@@ -3,6 +3,7 @@
 import beechseam.config.Json;
 import beechseam.config.NodeConfig;
 import beechseam.core.Timer;
+import beechseam.dispatch.LearnedState;
 import beechseam.http.Slice;
 import beechseam.ops.AdminEndpoint;
 import beechseam.ops.HandoverLink;
@@ -16,8 +17,8 @@
 import java.util.Map;
 
 /** One node of two processes: how the younger joins, and when the elder may hand over to it. */
-final class Succession implements HandoverLink.Process {
-    private static final Logger LOG = System.getLogger(Succession.class.getName());
+final class ProcessHandover implements HandoverLink.Process {
+    private static final Logger LOG = System.getLogger(ProcessHandover.class.getName());
     private static final long CHECK_NS = 5_000_000L;
     /** So long the elder's state and discovery's list are waited for, then this one serves by what it has. */
     private static final long JOIN_NS = 3_000_000_000L;
@@ -25,7 +26,7 @@
     private static final long NOTE_NS = 1_000_000_000L;
 
     /** Pieces are filled up to this part of a frame, since the estimate of their size is rough. */
-    private static final int PIECE_BYTES = HandoverLink.MOST_PIECE / 2;
+    private static final int PIECE_BYTES = HandoverLink.MAX_PIECE_BYTES / 2;
     /** A figure as JSON, with its comma. */
     private static final int FIGURE_BYTES = 25;
 
@@ -39,13 +40,13 @@
     };
     private boolean joined;
     private boolean handedOver;
-    private boolean told;
+    private boolean handlingPeerCall;
     private long joinBy;
 
-    Succession(PlatformNode node, NodeConfig config) {
+    ProcessHandover(PlatformNode node, NodeConfig config) {
         this.node = node;
         link = new HandoverLink(node.loop, config.state(), config.address(), this);
-        joined = link.others() == 0;
+        joined = link.peerCount() == 0;
         joinBy = node.loop.now() + JOIN_NS;
         if (!joined) {
             LOG.log(Level.INFO, "takes over from another process of this node");
@@ -60,7 +61,7 @@
 
     private void join() {
         long now = node.loop.now();
-        if (!node.listening() && (!link.unwelcomed() && node.held() || now >= joinBy)) {
+        if (!node.listening() && (!link.awaitsPeerState() && node.isSynced() || now >= joinBy)) {
             node.maintenance.restore(); // what is said from now on comes by the link
             try {
                 node.listen();
@@ -73,36 +74,36 @@
                 return;
             }
         }
-        joined = node.listening() && (!link.unseen() || now >= joinBy);
+        joined = node.listening() && (!link.awaitsReadyAcknowledgement() || now >= joinBy);
         if (!joined) {
             node.loop.timers.set(join, now + CHECK_NS);
         }
     }
 
-    int processes() {
-        return 1 + link.others();
+    int processCount() {
+        return 1 + link.peerCount();
     }
 
     /** A call that was carried out here, unless it came from there. */
-    void tell(String call) {
-        if (!told) {
-            link.call(call);
+    void notifyPeer(String call) {
+        if (!handlingPeerCall) {
+            link.sendCall(call);
         }
     }
 
     /** Whether the call under way was made at another process. */
-    boolean told() {
-        return told;
+    boolean isHandlingPeerCall() {
+        return handlingPeerCall;
     }
 
-    boolean pass(Slice event) {
-        return link.event(event.bytes(), event.from(), event.length());
+    boolean forwardToPeer(Slice event) {
+        return link.forwardCallback(event.bytes(), event.from(), event.length());
     }
 
     /** At the end of this process: whether another takes the clients now. */
-    boolean handOver() {
+    boolean begin() {
         node.loop.timers.cancel(join);
-        handedOver = link.successor();
+        handedOver = link.hasSuccessor();
         return handedOver;
     }
 
@@ -117,13 +118,13 @@
     }
 
     @Override
-    public Iterable<String> state() {
+    public Iterable<String> currentState() {
         return node.standby() ? List.of("standby") : List.of();
     }
 
     @Override
-    public Iterable<byte[]> learned() {
-        return pieces(node.engine.handOver());
+    public Iterable<byte[]> learnedState() {
+        return pieces(node.engine.exportLearnedState().entries());
     }
 
     /** The figures by name as JSON, in as many pieces as frames of the link need. */
@@ -147,19 +148,19 @@
     private static void add(List<byte[]> pieces, Map<String, double[]> piece) {
         try {
             byte[] text = Json.bytes(piece);
-            if (text.length <= HandoverLink.MOST_PIECE) {
+            if (text.length <= HandoverLink.MAX_PIECE_BYTES) {
                 pieces.add(text);
             } else {
                 LOG.log(Level.WARNING, "not handed over, too long: " + piece.keySet());
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "what was learned cannot be told: " + e.getMessage());
+            LOG.log(Level.WARNING, "what was learned cannot be handlingPeerCall: " + e.getMessage());
         }
         piece.clear();
     }
 
     @Override
-    public void recall(ByteBuffer piece) {
+    public void learnedStateReceived(ByteBuffer piece) {
         Map<String, double[]> learned = new LinkedHashMap<>();
         try {
             int from = piece.arrayOffset() + piece.position();
@@ -169,7 +170,7 @@
         } catch (IOException e) {
             LOG.log(Level.WARNING, "what the other process had learned cannot be read: " + e.getMessage());
         }
-        node.engine.recall(learned);
+        node.engine.importLearnedState(new LearnedState(learned));
     }
 
     /** The list's figures; none where it is no such list. */
@@ -182,24 +183,24 @@
     }
 
     @Override
-    public void call(String line) {
-        told = true;
+    public void callReceived(String line) {
+        handlingPeerCall = true;
         String answer = AdminEndpoint.answer(node, line);
-        told = false;
-        LOG.log(Level.INFO, "told by the other process: " + line + ": " + answer.strip());
+        handlingPeerCall = false;
+        LOG.log(Level.INFO, "handlingPeerCall by the other process: " + line + ": " + answer.strip());
     }
 
     @Override
-    public void event(ByteBuffer body) {
+    public void callbackReceived(ByteBuffer body) {
         int from = body.arrayOffset() + body.position();
-        node.callbacks.passed(new Slice(body.array(), from, body.remaining()));
+        node.callbacks.handleForwarded(new Slice(body.array(), from, body.remaining()));
     }
 
     @Override
-    public void linked() {
-        node.share();
-        if (node.stopping() && handedOver != link.successor()) {
-            node.departAgain();
+    public void peersChanged() {
+        node.allocateDescriptors();
+        if (node.stopping() && handedOver != link.hasSuccessor()) {
+            node.updateDrainSchedule();
         }
     }
 }
--- a/src/main/java/beechseam/platform/ServerStartTimes.java
+++ b/src/main/java/beechseam/platform/ServerStartTimes.java
@@ -1,7 +1,7 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.State;
 import beechseam.config.MemberList;
+import beechseam.dispatch.EndpointState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -73,7 +73,7 @@
 
     /** When the server started on the steady clock; 0 for long ago. */
     long of(MemberList.Server server) {
-        if (server.startedMs() == 0 || server.state() == State.GONE) {
+        if (server.startedMs() == 0 || server.state() == EndpointState.REMOVED) {
             starts.remove(server.id());
             return 0;
         }
--- a/src/main/java/beechseam/platform/StatsReport.java
+++ b/src/main/java/beechseam/platform/StatsReport.java
@@ -1,8 +1,8 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.JobClass;
 import beechseam.core.Counters;
 import beechseam.core.Engine;
+import beechseam.dispatch.JobClass;
 import java.util.List;
 
 /** The figures that operators read, a line each. */
@@ -19,7 +19,7 @@
         StringBuilder all = new StringBuilder(1024);
         Counters counters = engine.counters();
         for (int i = 0; i < classes.size(); i++) {
-            Counters.OfClass c = counters.of(i);
+            Counters.ClassCounters c = counters.of(i);
             String of = "transactions." + classes.get(i).name() + ".";
             line(all, of + "answered", c.answered());
             line(all, of + "deferred", c.deferred());
@@ -27,8 +27,8 @@
             line(all, of + "sends", c.written);
         }
         line(all, "current", counters.current());
-        line(all, "cluster_size", engine.routes().size());
-        line(all, "cluster_unhealthy", engine.avoided());
+        line(all, "cluster_size", engine.routeTable().size());
+        line(all, "cluster_unhealthy", engine.unavailableTargets());
         line(all, "conf_loaded", counters.confLoaded);
         line(all, "conf_invalid", counters.confInvalid);
         return all.toString();
--- a/src/main/java/beechseam/platform/Wire.java
+++ b/src/main/java/beechseam/platform/Wire.java
@@ -1,7 +1,7 @@
 package beechseam.platform;
 
-import beechseam.Dispatching.Load;
 import beechseam.config.ModuleOptions;
+import beechseam.dispatch.LoadReport;
 import beechseam.http.Slice;
 import java.util.Map;
 
@@ -67,12 +67,12 @@
     }
 
     /** A report in a header, or null. */
-    static Load load(ModuleOptions options, Slice header) {
+    static LoadReport load(ModuleOptions options, Slice header) {
         return header == null ? null : options.load(name -> fact(header, name));
     }
 
     /** A report in a call-back or a probe's answer, or null. */
-    static Load load(ModuleOptions options, Map<?, ?> report) {
+    static LoadReport load(ModuleOptions options, Map<?, ?> report) {
         return report == null || report.isEmpty()
                 ? null
                 : options.load(name -> report.get(name) instanceof Number n ? n.doubleValue() : Double.NaN);
--- a/src/main/java/beechseam/sim/Adapter.java
+++ b/src/main/java/beechseam/sim/Adapter.java
@@ -1,12 +1,12 @@
 package beechseam.sim;
 
-import beechseam.Dispatcher;
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Outcome;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
 import beechseam.config.ModuleOptions;
+import beechseam.dispatch.Dispatcher;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.Job;
+import beechseam.dispatch.Outcome;
+import beechseam.dispatch.WorkerEndpoint;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -22,12 +22,14 @@
 /** Speaks the simulator's wire on a pair of streams and hosts any number of instances; it decides nothing. */
 public final class Adapter {
     private static final int COUNT_OF_BANKS = 16;
-    private static final ListForm[] FORMS = {ListForm.CHANGES, ListForm.FULL, ListForm.CACHED, ListForm.FAILED};
+    private static final EndpointUpdate[] FORMS = {
+        EndpointUpdate.DELTA, EndpointUpdate.SNAPSHOT, EndpointUpdate.CACHED, EndpointUpdate.FAILED
+    };
 
     private final JsonParser in;
     private final Replies out;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Worker>> banks = new ArrayList<>();
+    private final List<List<WorkerEndpoint>> banks = new ArrayList<>();
     private long now;
 
     /** One instance of the module with what the wire needs to know of it. */
@@ -120,11 +122,11 @@
                 if (m.form < 0 || m.form >= FORMS.length || m.bank < 0 || m.bank >= COUNT_OF_BANKS) {
                     throw new IOException("unknown list form or bank");
                 }
-                ListForm form = FORMS[m.form];
-                module.list(now, form, form == ListForm.FAILED ? List.of() : banks.get(m.bank));
+                EndpointUpdate form = FORMS[m.form];
+                module.endpointsUpdated(now, form, form == EndpointUpdate.FAILED ? List.of() : banks.get(m.bank));
             }
             case "Inbound" ->
-                module.job(
+                module.jobArrived(
                         now,
                         new Job(
                                 m.corr,
@@ -136,18 +138,20 @@
                                 instance.options.marksRetries && !m.retry));
             case "Interim" -> {
                 if (m.kind == 1) {
-                    module.started(now, m.corr, m.leg);
+                    module.attemptStarted(now, m.corr, m.leg);
                 } else if (m.kind == 2) {
-                    module.progress(now, m.corr, m.leg, m.value);
+                    module.attemptProgressed(now, m.corr, m.leg, m.value);
                 }
             }
-            case "Begun" -> module.streaming(now, m.corr, m.leg);
+            case "Begun" -> module.streamingStarted(now, m.corr, m.leg);
             case "ClosedAttempt" ->
-                module.ended(now, m.corr, m.leg, outcome(m.how), m.closed, instance.options.load(m.gauge, m.gaugeSize));
+                module.attemptEnded(
+                        now, m.corr, m.leg, outcome(m.how), m.closed, instance.options.load(m.gauge, m.gaugeSize));
             case "StatusBack" ->
-                module.probed(now, m.worker, "served".equals(m.how), instance.options.load(m.gauge, m.gaugeSize));
-            case "Lapsed" -> module.left(now, m.corr);
-            case "Alarm" -> module.wake(now, m.tag);
+                module.healthCheckCompleted(
+                        now, m.worker, "served".equals(m.how), instance.options.load(m.gauge, m.gaugeSize));
+            case "Lapsed" -> module.clientDisconnected(now, m.corr);
+            case "Alarm" -> module.timerFired(now, m.tag);
             default -> {} // unknown events and messages of peers, which the module does not use
         }
     }
@@ -155,7 +159,7 @@
     private static Outcome outcome(String how) {
         return switch (how == null ? "" : how) {
             case "served" -> Outcome.SERVED;
-            case "turned_away" -> Outcome.REFUSED;
+            case "turned_away" -> Outcome.REJECTED;
             case "no_answer" -> Outcome.TIMEOUT;
             case "no_connection" -> Outcome.UNREACHABLE;
             case "connection_lost" -> Outcome.LOST;
@@ -167,7 +171,7 @@
 
     private void readBank() throws IOException {
         int bank = 0;
-        List<Worker> rows = new ArrayList<>();
+        List<WorkerEndpoint> rows = new ArrayList<>();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             JsonToken value = in.nextToken();
@@ -189,7 +193,7 @@
         banks.set(bank, rows);
     }
 
-    private Worker row() throws IOException {
+    private WorkerEndpoint row() throws IOException {
         long id = 0;
         int cell = 0;
         String zone = "";
@@ -211,7 +215,8 @@
                 default -> in.skipChildren();
             }
         }
-        State state = status == 1 ? State.READY : status == 2 ? State.DRAINING : State.GONE;
-        return new Worker(id, cell, zone, kind, born, state, weight);
+        EndpointState state =
+                status == 1 ? EndpointState.READY : status == 2 ? EndpointState.DRAINING : EndpointState.REMOVED;
+        return new WorkerEndpoint(id, cell, zone, kind, born, state, weight);
     }
 }
--- a/src/main/java/beechseam/sim/Replies.java
+++ b/src/main/java/beechseam/sim/Replies.java
@@ -1,6 +1,6 @@
 package beechseam.sim;
 
-import beechseam.Dispatching.Actions;
+import beechseam.dispatch.DispatchActions;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -26,8 +26,8 @@
                 .end();
     }
 
-    Actions forInstance(int who) {
-        return new Actions() {
+    DispatchActions forInstance(int who) {
+        return new DispatchActions() {
             @Override
             public void send(long job, long worker, long timeoutNs) {
                 new Line("HandOff", who)
@@ -46,7 +46,7 @@
             }
 
             @Override
-            public void refuse(long job, long pauseNs) {
+            public void shed(long job, long pauseNs) {
                 new Line("Decline", who)
                         .number("Corr", job)
                         .number("PauseNs", pauseNs)
@@ -59,12 +59,12 @@
             }
 
             @Override
-            public void probe(long worker) {
+            public void healthCheck(long worker) {
                 new Line("Poll", who).number("Worker", worker).end();
             }
 
             @Override
-            public void wakeIn(long offsetNs, long tag) {
+            public void scheduleTimer(long offsetNs, long tag) {
                 new Line("NotifyMe", who)
                         .number("OffsetNs", offsetNs)
                         .number("Tag", tag)
@@ -72,7 +72,7 @@
             }
 
             @Override
-            public void watchList() {
+            public void watchEndpoints() {
                 new Line("Watch", who).flag("Enable").end();
             }
 
--- a/src/test/java/beechseam/ArchitectureTest.java
+++ b/src/test/java/beechseam/ArchitectureTest.java
@@ -18,15 +18,15 @@
             .resideInAPackage("beechseam.core")
             .should()
             .onlyDependOnClassesThat()
-            .resideInAnyPackage("beechseam", "beechseam.core", "java.lang..", "java.util..");
+            .resideInAnyPackage("beechseam.dispatch", "beechseam.core", "java.lang..", "java.util..");
 
     @ArchTest
     static final ArchRule THE_MODULE_IS_BY_ITSELF = classes()
             .that()
-            .resideInAPackage("beechseam")
+            .resideInAPackage("beechseam.dispatch")
             .should()
             .onlyDependOnClassesThat()
-            .resideInAnyPackage("beechseam", "java.lang..", "java.util..");
+            .resideInAnyPackage("beechseam.dispatch", "java.lang..", "java.util..");
 
     @ArchTest
     static final ArchRule WHAT_GEARMAN_DECIDES_IS_FREE_OF_IO = classes()
@@ -75,7 +75,11 @@
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
-                    "beechseam", "beechseam.core..", "beechseam.net..", "beechseam.platform..", "beechseam.gearman..");
+                    "beechseam.dispatch",
+                    "beechseam.core..",
+                    "beechseam.net..",
+                    "beechseam.platform..",
+                    "beechseam.gearman..");
 
     @ArchTest
     static final ArchRule THE_SUITE_KNOWS_NOTHING_OF_OUR_SERVER = noClasses()
--- a/src/test/java/beechseam/Loopback.java
+++ b/src/test/java/beechseam/Loopback.java
@@ -111,7 +111,7 @@
         }
 
         @Override
-        protected long mostWaiting() {
+        protected long maxUnwrittenBytes() {
             return 1L << 30; // a stand-in may have much to say
         }
 
--- a/src/test/java/beechseam/config/ConfigTest.java
+++ b/src/test/java/beechseam/config/ConfigTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.Load;
+import beechseam.dispatch.LoadReport;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,9 +21,9 @@
         """;
     private static final String GEARMAN = "{\"functions\":[{\"name\":\"f\",\"effect\":\"safe\"}]}";
 
-    private static Tree tree(String text) throws Exception {
+    private static ConfigNode tree(String text) throws Exception {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return new Tree("", (Map<?, ?>) Json.parse(bytes, 0, bytes.length));
+        return new ConfigNode("", (Map<?, ?>) Json.parse(bytes, 0, bytes.length));
     }
 
     @Test
@@ -53,12 +53,12 @@
              "Specifics":{"ReportX0":"free slots","TellsStart":true},"CountedBy":"request"}""");
         ModuleOptions options = NodeConfig.of(tree(second)).options();
         assertEquals(250_000_000L, options.settings.rules().drainGraceNs());
-        assertEquals(0.12, options.settings.rules().startCapacity());
+        assertEquals(0.12, options.settings.rules().initialCapacity());
         assertFalse(
-                options.settings.limits().copies() || options.settings.limits().probes());
-        assertFalse(options.settings.worthByWork());
-        Load load = options.load(new double[] {5, 30, 2, 1}, 4);
-        assertEquals(new Load(5, 2, 1, Double.NaN, Double.NaN), load, "what it does not report is unknown");
+                options.settings.limits().hedging() || options.settings.limits().healthChecks());
+        assertFalse(options.settings.weightByWork());
+        LoadReport load = options.load(new double[] {5, 30, 2, 1}, 4);
+        assertEquals(new LoadReport(5, 2, 1, Double.NaN, Double.NaN), load, "what it does not report is unknown");
         String message = assertThrows(
                         ConfigException.class,
                         () -> NodeConfig.of(tree(second.replace("\"AimNs\":300000000", "\"AimNs\":-1"))))
@@ -90,7 +90,7 @@
             })
     void aFaultNamesItsKey(String key, String from, String to) throws Exception {
         assertTrue(GOOD.contains(from), from);
-        Tree bad = tree(GOOD.replace(from, to));
+        ConfigNode bad = tree(GOOD.replace(from, to));
         String message =
                 assertThrows(ConfigException.class, () -> NodeConfig.of(bad)).getMessage();
         assertTrue(message.startsWith(key + ": "), message);
@@ -137,11 +137,11 @@
                 1024,
                 NodeConfig.of(tree(GOOD.replace("\"seed\"", "\"region\":\"wa\",\"seed\"")))
                         .sockets());
-        Tree bad = tree(GOOD.replace("\"seed\"", "\"consol\":\"127.0.0.1:1\",\"seed\""));
+        ConfigNode bad = tree(GOOD.replace("\"seed\"", "\"consol\":\"127.0.0.1:1\",\"seed\""));
         assertEquals(
                 "consol: is not known here; did you mean console?",
                 assertThrows(ConfigException.class, () -> NodeConfig.of(bad)).getMessage());
-        Tree nested = tree(GOOD.replace("\"sockets\"", "\"cores\":1,\"memory_mb\":5,\"socket\""));
+        ConfigNode nested = tree(GOOD.replace("\"sockets\"", "\"cores\":1,\"memory_mb\":5,\"socket\""));
         assertEquals(
                 "limits.socket: is not known here; did you mean sockets?",
                 assertThrows(ConfigException.class, () -> NodeConfig.of(nested)).getMessage());
@@ -161,7 +161,7 @@
                 "listen | {\"functions\":[{\"name\":\"f\"}],\"listen\":\"x\"}"
             })
     void aFaultInTheOperatorsFileNamesItsKey(String key, String text) throws Exception {
-        Tree bad = tree(text);
+        ConfigNode bad = tree(text);
         String message =
                 assertThrows(ConfigException.class, () -> GearmanConfig.of(bad)).getMessage();
         assertTrue(message.startsWith(key + ": "), message);
--- a/src/test/java/beechseam/config/SchemaTest.java
+++ b/src/test/java/beechseam/config/SchemaTest.java
@@ -77,8 +77,8 @@
         }
     }
 
-    private static Tree tree(String text) throws Exception {
+    private static ConfigNode tree(String text) throws Exception {
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        return new Tree("", (java.util.Map<?, ?>) Json.parse(bytes, 0, bytes.length));
+        return new ConfigNode("", (java.util.Map<?, ?>) Json.parse(bytes, 0, bytes.length));
     }
 }
--- a/src/test/java/beechseam/conformance/ConformanceTest.java
+++ b/src/test/java/beechseam/conformance/ConformanceTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import beechseam.Loopback;
+import beechseam.config.ConfigNode;
 import beechseam.config.GearmanConfig;
 import beechseam.config.Json;
-import beechseam.config.Tree;
 import beechseam.gearman.GearmanServer;
 import beechseam.gearman.protocol.Packet;
 import beechseam.net.EventLoop;
@@ -28,7 +28,7 @@
         List<Script.Case> cases = Script.suite();
         assertTrue(cases.size() >= 120, "the suite has " + cases.size() + " cases");
         byte[] text = ANY.getBytes(StandardCharsets.UTF_8);
-        GearmanConfig config = GearmanConfig.of(new Tree("", (Map<?, ?>) Json.parse(text, 0, text.length)));
+        GearmanConfig config = GearmanConfig.of(new ConfigNode("", (Map<?, ?>) Json.parse(text, 0, text.length)));
         EventLoop loop = new EventLoop();
         GearmanServer server = new GearmanServer(loop, config, 3);
         Thread serving = new Thread(() -> assertDoesNotThrow(loop::run));
