--- a/src/test/java/beechseam/core/EngineTest.java
+++ b/src/test/java/beechseam/core/EngineTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.Group;
-import beechseam.Dispatching.JobClass;
-import beechseam.Dispatching.Limits;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Load;
-import beechseam.Dispatching.Outcome;
-import beechseam.Dispatching.Reports;
-import beechseam.Dispatching.Rules;
-import beechseam.Dispatching.Settings;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
+import beechseam.dispatch.DeduplicationScope;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.JobClass;
+import beechseam.dispatch.LoadReport;
+import beechseam.dispatch.LoadReportSource;
+import beechseam.dispatch.Outcome;
+import beechseam.dispatch.WorkerEndpoint;
+import beechseam.dispatch.WorkerRules;
 import beechseam.net.TimerQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -59,18 +59,19 @@
         boolean failAtOnce;
         boolean sending;
 
-        World(Effect effect) {
+        World(Idempotency effect) {
             this(effect, 400 * MS, 0);
         }
 
-        World(Effect effect, long aimNs, double lateWorth) {
-            JobClass jobs = new JobClass("c", aimNs, 4 * S, 2, 1, lateWorth, effect, Group.CELL, 2 * S, null);
+        World(Idempotency effect, long aimNs, double lateWorth) {
+            JobClass jobs =
+                    new JobClass("c", aimNs, 4 * S, 2, 1, lateWorth, effect, DeduplicationScope.CELL, 2 * S, null);
             engine = new Engine(
-                    new Settings(
+                    new DispatchSettings(
                             List.of(jobs),
-                            new Limits(4, S, true, true, false, true, 10 * S),
-                            new Rules(300 * MS, 8 * S, 0.25, 8 * S, 3, S, false),
-                            Reports.ANSWERS,
+                            new DispatchLimits(4, S, true, true, false, true, 10 * S),
+                            new WorkerRules(300 * MS, 8 * S, 0.25, 8 * S, 3, S, false),
+                            LoadReportSource.ANSWERS,
                             false,
                             1,
                             0,
@@ -86,20 +87,20 @@
                     timers,
                     this,
                     counters);
-            engine.gate(gate);
-            list(3, State.READY);
+            engine.useSendGate(gate);
+            list(3, EndpointState.READY);
         }
 
-        void list(int count, State state) {
-            List<Worker> lines = new ArrayList<>();
+        void list(int count, EndpointState state) {
+            List<WorkerEndpoint> lines = new ArrayList<>();
             for (int i = 1; i <= count; i++) {
-                lines.add(new Worker(i, i % 2, "z", "k", 0, i == 1 ? state : State.READY));
+                lines.add(new WorkerEndpoint(i, i % 2, "z", "k", 0, i == 1 ? state : EndpointState.READY));
             }
-            engine.routes(ListForm.FULL, lines);
+            engine.updateEndpoints(EndpointUpdate.SNAPSHOT, lines);
         }
 
         Request take(String name) {
-            Request r = engine.take(name, 0, 4 * S, 1, 0, "message", this);
+            Request r = engine.submit(name, 0, 4 * S, 1, 0, "message", this);
             if (r != null) {
                 taken.add(r);
             }
@@ -119,12 +120,12 @@
         public void send(Attempt attempt) {
             assertTrue(gate.open, "sent though the gate is closed");
             assertFalse(attempt.request.finished(), "sent after the final answer");
-            assertTrue(engine.routes().serving(attempt.target), "sent to a target that is not in service");
+            assertTrue(engine.routeTable().acceptsNewWork(attempt.target), "sent to a target that is not in service");
             assertNull(answers.get(attempt.request));
             assertFalse(sending, "the module was entered while it acts");
             if (failAtOnce) { // the way a refused connect on loopback reports itself
                 sending = true;
-                engine.ended(attempt, Outcome.UNREACHABLE, null, null);
+                engine.attemptEnded(attempt, Outcome.UNREACHABLE, null, null);
                 sending = false;
             } else {
                 attempt.begun();
@@ -138,10 +139,10 @@
         }
 
         @Override
-        public void probe(long target) {
+        public void healthCheck(long target) {
             assertTrue(gate.open, "probed though the gate is closed");
             probed.add(target);
-            engine.probed(target, false, null);
+            engine.healthCheckCompleted(target, false, null);
         }
 
         private void answer(Request r, String how) {
@@ -168,7 +169,7 @@
     @Property(seed = "20261201", tries = 300)
     void everyRequestGetsOneAnswerInTimeWhateverTheWiresDo(
             @ForAll long seed, @ForAll @IntRange(min = 0, max = 2) int effect) {
-        World w = new World(Effect.values()[effect]);
+        World w = new World(Idempotency.values()[effect]);
         Random random = new Random(seed);
         List<Request> left = new ArrayList<>();
         for (int step = 0; step < 120; step++) {
@@ -176,11 +177,11 @@
             switch (random.nextInt(10)) {
                 case 9 -> {
                     w.gate.open = !w.gate.open;
-                    w.engine.resume();
+                    w.engine.resumeDeferred();
                 }
                 case 0, 1 -> w.take("r" + random.nextInt(200));
                 case 2 -> w.pass(random.nextInt(300) * MS);
-                case 3 -> w.list(1 + random.nextInt(3), State.values()[random.nextInt(2)]);
+                case 3 -> w.list(1 + random.nextInt(3), EndpointState.values()[random.nextInt(2)]);
                 case 4 -> w.failAtOnce = random.nextInt(4) == 0;
                 case 5 -> {
                     if (!w.taken.isEmpty()) {
@@ -188,22 +189,22 @@
                         if (!r.finished()) {
                             left.add(r);
                         }
-                        w.engine.left(r);
+                        w.engine.clientDisconnected(r);
                     }
                 }
                 case 6 -> {
                     if (attempt != null) {
-                        w.engine.started(attempt);
-                        w.engine.progress(attempt, random.nextDouble());
+                        w.engine.attemptStarted(attempt);
+                        w.engine.attemptProgressed(attempt, random.nextDouble());
                     }
                 }
                 default -> {
                     if (attempt != null) {
-                        Outcome[] all = {Outcome.SERVED, Outcome.ERROR, Outcome.REFUSED, Outcome.LOST};
+                        Outcome[] all = {Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED, Outcome.LOST};
                         w.out.remove(attempt);
                         Outcome how = all[random.nextInt(all.length)];
-                        w.engine.ended(attempt, how, new byte[0], new Load(1, 0, 3, Double.NaN, 0.2));
-                        w.engine.ended(attempt, Outcome.SERVED, new byte[0], null); // told twice: passed over
+                        w.engine.attemptEnded(attempt, how, new byte[0], new LoadReport(1, 0, 3, Double.NaN, 0.2));
+                        w.engine.attemptEnded(attempt, Outcome.SERVED, new byte[0], null); // told twice: passed over
                     }
                 }
             }
@@ -212,27 +213,27 @@
         for (Request r : w.taken) {
             assertNotEquals(left.contains(r), w.answers.containsKey(r), "answered, or its client left");
         }
-        assertEquals(0, w.engine.open(), "nothing is kept of what is over");
+        assertEquals(0, w.engine.openRequests(), "nothing is kept of what is over");
         assertEquals(0, w.counters.faults);
-        assertEquals(w.counters.taken, w.answers.size() + left.size());
+        assertEquals(w.counters.requestsAccepted, w.answers.size() + left.size());
     }
 
     /** A connect refused within the send must not enter the module while it acts. */
     @Test
     void anEndWithinTheSendWaitsForTheModule() {
-        World w = new World(Effect.UNSAFE);
+        World w = new World(Idempotency.NON_IDEMPOTENT);
         w.failAtOnce = true;
         Request r = w.take("a");
         w.pass(4 * S);
         assertTrue(w.answers.get(r).startsWith("shed"), "it never ran: a further try is harmless");
         assertEquals(0, w.counters.faults);
-        assertEquals(w.counters.sent, w.counters.ended(Outcome.UNREACHABLE));
+        assertEquals(w.counters.attemptsSent, w.counters.ended(Outcome.UNREACHABLE));
     }
 
     /** The module sends without a time-out: the host owes the end, in time for an answer. */
     @Test
     void silenceEndsAsTimeoutBeforeTheClientGivesUp() {
-        World w = new World(Effect.UNSAFE);
+        World w = new World(Idempotency.NON_IDEMPOTENT);
         Request r = w.take("a");
         w.pass(4 * S - 26 * MS);
         assertNull(w.answers.get(r));
@@ -244,21 +245,23 @@
     /** An attempt may wait for a connection until the time in which its request may be repeated is over. */
     @Test
     void aRepeatThatHasWaitedPastTheWindowDoesNotBegin() {
-        World w = new World(Effect.KEYED);
-        w.engine.routes(
-                ListForm.FULL,
-                List.of(new Worker(1, 0, "z", "k", 0, State.READY), new Worker(2, 0, "z", "k", 0, State.READY)));
+        World w = new World(Idempotency.KEYED);
+        w.engine.updateEndpoints(
+                EndpointUpdate.SNAPSHOT,
+                List.of(
+                        new WorkerEndpoint(1, 0, "z", "k", 0, EndpointState.READY),
+                        new WorkerEndpoint(2, 0, "z", "k", 0, EndpointState.READY)));
         Request r = w.take("a");
         Attempt first = w.out.remove(0);
-        assertTrue(w.engine.begins(first));
-        w.engine.ended(first, Outcome.LOST, null, null);
+        assertTrue(w.engine.tryBegin(first));
+        w.engine.attemptEnded(first, Outcome.LOST, null, null);
         Attempt second = w.out.get(0);
         w.pass(1840 * MS);
-        assertTrue(w.engine.begins(second), "the window is 2 s, less 150 ms between the clock and the write");
+        assertTrue(w.engine.tryBegin(second), "the window is 2 s, less 150 ms between the clock and the write");
         w.pass(11 * MS);
         w.out.remove(second);
-        assertFalse(w.engine.begins(second));
-        assertTrue(second.over());
+        assertFalse(w.engine.tryBegin(second));
+        assertTrue(second.hasEnded());
         w.pass(4 * S);
         assertEquals("failed", w.answers.get(r), "it may have run");
         assertEquals(1, w.counters.withheld);
@@ -267,19 +270,19 @@
     /** The window is that of repeats: one that waits for long and repeats nothing may begin. */
     @Test
     void aFirstAttemptMayBeginPastTheWindow() {
-        World w = new World(Effect.KEYED);
+        World w = new World(Idempotency.KEYED);
         w.take("a");
         Attempt first = w.out.get(0);
         w.pass(2100 * MS);
-        assertTrue(w.engine.begins(first));
+        assertTrue(w.engine.tryBegin(first));
     }
 
     /** Held to the end by the module, whose ticks fall anywhere before the deadline. */
     @Property(seed = "41", tries = 60)
     void whatWasNeverForwardedIsRefusedAndNotFailed(
-            @ForAll Effect effect, @ForAll @IntRange(min = 0, max = 40) int phaseMs) {
+            @ForAll Idempotency effect, @ForAll @IntRange(min = 0, max = 40) int phaseMs) {
         World w = new World(effect, 100 * MS, 0.5);
-        w.list(0, State.READY);
+        w.list(0, EndpointState.READY);
         w.take("first");
         w.pass(phaseMs * MS);
         Request r = w.take("a");
@@ -290,33 +293,33 @@
     /** Its answer is given, or its target drains, while an attempt waits: it does not begin. */
     @Test
     void aHopThatNobodyNeedsOrWhoseTargetDrainsDoesNotBegin() {
-        World w = new World(Effect.SAFE);
+        World w = new World(Idempotency.IDEMPOTENT);
         w.take("a");
         Attempt drained = w.out.remove(0);
-        w.list(0, State.READY);
-        assertFalse(w.engine.begins(drained));
-        w.list(3, State.READY);
+        w.list(0, EndpointState.READY);
+        assertFalse(w.engine.tryBegin(drained));
+        w.list(3, EndpointState.READY);
         Request r = w.take("b");
         Attempt unwanted =
                 w.out.stream().filter(each -> each.request == r).findFirst().orElseThrow();
         r.finished = true;
-        assertFalse(w.engine.begins(unwanted));
-        assertTrue(drained.over() && unwanted.over());
+        assertFalse(w.engine.tryBegin(unwanted));
+        assertTrue(drained.hasEnded() && unwanted.hasEnded());
     }
 
     // ---- The send gate
 
     @Test
     void requestsWaitForTheGateAndGoInOrderWithTheTimeThatIsLeft() {
-        World w = new World(Effect.SAFE);
+        World w = new World(Idempotency.IDEMPOTENT);
         w.gate.open = false;
         Request first = w.take("a");
         Request second = w.take("b");
         w.pass(300 * MS);
-        assertEquals(0, w.counters.sent);
-        assertEquals(2, w.engine.open());
+        assertEquals(0, w.counters.attemptsSent);
+        assertEquals(2, w.engine.openRequests());
         w.gate.open = true;
-        w.engine.resume();
+        w.engine.resumeDeferred();
         assertEquals(
                 List.of(first, second), w.out.stream().map(each -> each.request).toList());
         w.pass(4 * S);
@@ -326,75 +329,77 @@
     /** Nothing of it was sent: it is refused, with the time until the gate opens, and not failed. */
     @Test
     void aRequestWhoseTimePassesAtTheGateIsRefusedWithWhenToComeBack() {
-        World w = new World(Effect.UNSAFE);
+        World w = new World(Idempotency.NON_IDEMPOTENT);
         w.gate.open = false;
         Request r = w.take("a");
         w.pass(4 * S - 26 * MS);
         assertNull(w.answers.get(r));
         w.pass(2 * MS);
         assertEquals("shed " + 700 * MS, w.answers.get(r));
-        assertEquals(0, w.engine.open());
+        assertEquals(0, w.engine.openRequests());
         w.gate.open = true;
-        w.engine.resume();
-        assertEquals(0, w.counters.sent);
+        w.engine.resumeDeferred();
+        assertEquals(0, w.counters.attemptsSent);
     }
 
     @Test
     void aRequestWhoseClientLeavesAtTheGateIsForgotten() {
-        World w = new World(Effect.SAFE);
+        World w = new World(Idempotency.IDEMPOTENT);
         w.gate.open = false;
         Request r = w.take("a");
-        w.engine.left(r);
-        assertEquals(0, w.engine.open());
+        w.engine.clientDisconnected(r);
+        assertEquals(0, w.engine.openRequests());
         w.gate.open = true;
-        w.engine.resume();
-        assertEquals(0, w.counters.sent);
+        w.engine.resumeDeferred();
+        assertEquals(0, w.counters.attemptsSent);
         assertNotNull(w.take("a"), "its name is free");
     }
 
     /** The gate closes between the decision and the first byte: the attempt goes out once, when it opens. */
     @Test
     void anAttemptThatHasNotBegunWaitsForTheGate() {
-        World w = new World(Effect.UNSAFE);
+        World w = new World(Idempotency.NON_IDEMPOTENT);
         w.take("a");
         Attempt attempt = w.out.remove(0);
         w.gate.open = false;
-        assertFalse(w.engine.begins(attempt));
-        assertFalse(attempt.over());
-        w.engine.resume();
+        assertFalse(w.engine.tryBegin(attempt));
+        assertFalse(attempt.hasEnded());
+        w.engine.resumeDeferred();
         assertTrue(w.out.isEmpty(), "still closed");
         w.gate.open = true;
-        w.engine.resume();
+        w.engine.resumeDeferred();
         assertEquals(List.of(attempt), w.out);
-        assertTrue(w.engine.begins(attempt));
-        assertEquals(1, w.counters.sent);
+        assertTrue(w.engine.tryBegin(attempt));
+        assertEquals(1, w.counters.attemptsSent);
     }
 
     /** What was learned at the gate counts: the target drains, and the attempt ends as never sent. */
     @Test
     void anAttemptWhoseTargetDrainsAtTheGateGoesElsewhere() {
-        World w = new World(Effect.UNSAFE);
-        w.list(1, State.READY);
+        World w = new World(Idempotency.NON_IDEMPOTENT);
+        w.list(1, EndpointState.READY);
         w.take("a");
         Attempt attempt = w.out.remove(0);
         w.gate.open = false;
-        assertFalse(w.engine.begins(attempt));
-        w.engine.routes(
-                ListForm.FULL,
-                List.of(new Worker(1, 1, "z", "k", 0, State.DRAINING), new Worker(2, 0, "z", "k", 0, State.READY)));
+        assertFalse(w.engine.tryBegin(attempt));
+        w.engine.updateEndpoints(
+                EndpointUpdate.SNAPSHOT,
+                List.of(
+                        new WorkerEndpoint(1, 1, "z", "k", 0, EndpointState.DRAINING),
+                        new WorkerEndpoint(2, 0, "z", "k", 0, EndpointState.READY)));
         w.gate.open = true;
-        w.engine.resume();
-        assertTrue(attempt.over());
+        w.engine.resumeDeferred();
+        assertTrue(attempt.hasEnded());
         assertEquals(List.of(2L), w.out.stream().map(each -> each.target).toList());
     }
 
     @Test
     void aNameThatIsOpenIsNotTakenTwice() {
-        World w = new World(Effect.SAFE);
+        World w = new World(Idempotency.IDEMPOTENT);
         Request r = w.take("a");
         assertNull(w.take("a"));
         Attempt attempt = w.out.remove(0);
-        w.engine.ended(attempt, Outcome.SERVED, "ok".getBytes(), null);
+        w.engine.attemptEnded(attempt, Outcome.SERVED, "ok".getBytes(), null);
         assertEquals("served ok", w.answers.get(r));
         assertNotNull(w.take("a"), "it is free again");
     }
@@ -402,18 +407,18 @@
     /** Before the process ends: SIGKILL must find nothing unanswered, and nothing is sent for no one. */
     @Test
     void theLastAnswersLeaveInTimeWhateverTheirClientsGive() {
-        World w = new World(Effect.SAFE);
+        World w = new World(Idempotency.IDEMPOTENT);
         Request before = w.take("before");
-        w.engine.lastAnswer(w.now + S);
+        w.engine.answerAllBy(w.now + S);
         Request after = w.take("after");
         w.pass(S - MS);
-        long sent = w.counters.sent;
+        long sent = w.counters.attemptsSent;
         w.pass(2 * MS);
         assertTrue(after.finished());
         assertFalse(before.finished(), "taken before: its own deadline holds");
-        assertEquals(sent, w.counters.sent, "what is cut is not sent again");
+        assertEquals(sent, w.counters.attemptsSent, "what is cut is not sent again");
         w.pass(4 * S);
         assertTrue(before.finished());
-        assertEquals(0, w.engine.open());
+        assertEquals(0, w.engine.openRequests());
     }
 }
--- a/src/test/java/beechseam/core/RouteTableTest.java
+++ b/src/test/java/beechseam/core/RouteTableTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
+import beechseam.dispatch.EndpointState;
+import beechseam.dispatch.EndpointUpdate;
+import beechseam.dispatch.WorkerEndpoint;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,33 +21,34 @@
     void whatOperatorsSayHoldsWhateverIsListed(@ForAll long seed) {
         Random random = new Random(seed);
         RouteTable table = new RouteTable();
-        Map<Long, Worker> shown = new HashMap<>(); // as the module is told
-        Map<Long, State> listed = new HashMap<>();
+        Map<Long, WorkerEndpoint> shown = new HashMap<>(); // as the module is told
+        Map<Long, EndpointState> listed = new HashMap<>();
         Map<Long, Long> back = new HashMap<>();
         Set<Long> out = new HashSet<>();
         for (int step = 1; step < 60; step++) {
             long id = random.nextInt(4);
             if (random.nextBoolean()) {
                 boolean full = random.nextInt(3) == 0;
-                List<Worker> lines = new ArrayList<>();
+                List<WorkerEndpoint> lines = new ArrayList<>();
                 if (full) {
                     listed.clear();
                     shown.clear();
                 }
                 for (long each = 0; each < 4; each++) {
-                    State state = State.values()[random.nextInt(full ? 2 : 3)];
+                    EndpointState state = EndpointState.values()[random.nextInt(full ? 2 : 3)];
                     if (random.nextBoolean()) {
-                        lines.add(new Worker(each, 1, "z", "k", random.nextInt(60), state));
+                        lines.add(new WorkerEndpoint(each, 1, "z", "k", random.nextInt(60), state));
                         listed.put(each, state);
                     }
                 }
-                listed.values().removeIf(state -> state == State.GONE);
-                table.apply(full ? ListForm.FULL : ListForm.CHANGES, lines).forEach(each -> shown.put(each.id(), each));
+                listed.values().removeIf(state -> state == EndpointState.REMOVED);
+                table.apply(full ? EndpointUpdate.SNAPSHOT : EndpointUpdate.DELTA, lines)
+                        .forEach(each -> shown.put(each.id(), each));
             } else {
                 boolean leaveOut = random.nextBoolean();
                 if (leaveOut ? out.add(id) : out.remove(id)) {
                     back.put(id, leaveOut ? 0L : step);
-                    Worker row = table.maintain(id, leaveOut, step);
+                    WorkerEndpoint row = table.setMaintenance(id, leaveOut, step);
                     assertEquals(listed.containsKey(id), row != null);
                     if (row != null) {
                         shown.put(id, row);
@@ -55,12 +56,12 @@
                 }
             }
             for (long each = 0; each < 4; each++) {
-                boolean serves = listed.get(each) == State.READY && !out.contains(each);
-                assertEquals(serves, table.serving(each));
-                Worker told = shown.get(each);
-                assertEquals(serves, told != null && told.state() == State.READY);
+                boolean serves = listed.get(each) == EndpointState.READY && !out.contains(each);
+                assertEquals(serves, table.acceptsNewWork(each));
+                WorkerEndpoint told = shown.get(each);
+                assertEquals(serves, told != null && told.state() == EndpointState.READY);
                 // It may have restarted while it was out, whatever its row says of that.
-                assertTrue(!serves || told.bornNs() >= back.getOrDefault(each, 0L));
+                assertTrue(!serves || told.startedNs() >= back.getOrDefault(each, 0L));
             }
         }
     }
--- a/src/test/java/beechseam/ConnectionReuseTest.java
+++ b/src/test/java/beechseam/dispatch/ConnectionReuseTest.java
@@ -1,20 +1,10 @@
-package beechseam;
+package beechseam.dispatch;
 
-import static beechseam.Rig.MS;
-import static beechseam.Rig.S;
+import static beechseam.dispatch.DispatcherHarness.MS;
+import static beechseam.dispatch.DispatcherHarness.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beechseam.Dispatching.Actions;
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.Group;
-import beechseam.Dispatching.Job;
-import beechseam.Dispatching.ListForm;
-import beechseam.Dispatching.Outcome;
-import beechseam.Dispatching.Reports;
-import beechseam.Dispatching.Settings;
-import beechseam.Dispatching.State;
-import beechseam.Dispatching.Worker;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -49,20 +39,24 @@
         private int opened;
 
         private Nodes(int modules, int groupSize, int workers) {
-            Settings settings = Rig.settings(Reports.ANSWERS, false, groupSize, Rig.of(Effect.SAFE, Group.ALL));
-            List<Worker> lines = new ArrayList<>();
+            DispatchSettings settings = DispatcherHarness.settings(
+                    LoadReportSource.ANSWERS,
+                    false,
+                    groupSize,
+                    DispatcherHarness.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+            List<WorkerEndpoint> lines = new ArrayList<>();
             for (int i = 1; i <= workers; i++) {
-                lines.add(Rig.worker(i, "z1", 0, State.READY));
+                lines.add(DispatcherHarness.worker(i, "z1", 0, EndpointState.READY));
             }
             for (int i = 0; i < modules; i++) {
                 this.modules.add(new Dispatcher(now, settings, i + 1, new Sends()));
-                this.modules.get(i).list(now, ListForm.FULL, lines);
+                this.modules.get(i).endpointsUpdated(now, EndpointUpdate.SNAPSHOT, lines);
                 idle.add(new HashMap<>());
             }
         }
 
         /** Notes where the module sends a job; the test needs nothing else of it. */
-        private final class Sends implements Actions {
+        private final class Sends implements DispatchActions {
             @Override
             public void send(long job, long worker, long timeoutNs) {
                 sentTo = worker;
@@ -72,19 +66,19 @@
             public void cancel(long job, int attempt) {}
 
             @Override
-            public void refuse(long job, long pauseNs) {}
+            public void shed(long job, long pauseNs) {}
 
             @Override
             public void fail(long job) {}
 
             @Override
-            public void probe(long worker) {}
+            public void healthCheck(long worker) {}
 
             @Override
-            public void wakeIn(long offsetNs, long tag) {}
+            public void scheduleTimer(long offsetNs, long tag) {}
 
             @Override
-            public void watchList() {}
+            public void watchEndpoints() {}
 
             @Override
             public void log(String text) {}
@@ -94,13 +88,13 @@
         private long job(int module, long runNs) {
             sentTo = 0;
             long job = ++lastJob;
-            modules.get(module).job(now, new Job(job, 0, 4 * S, 0, 1, 0));
+            modules.get(module).jobArrived(now, new Job(job, 0, 4 * S, 0, 1, 0));
             long worker = sentTo;
             if (worker != 0) {
                 connect(module, worker);
                 held.merge(worker, 1, Integer::sum);
                 sent.merge(worker, 1, Integer::sum);
-                modules.get(module).started(now, job, 0);
+                modules.get(module).attemptStarted(now, job, 0);
                 runs.add(new Run(now + runNs, module, job, worker));
             }
             return worker;
@@ -123,13 +117,13 @@
                 int left = held.merge(run.worker, -1, Integer::sum);
                 idle.get(run.module).get(run.worker).addLast(now);
                 modules.get(run.module)
-                        .ended(
+                        .attemptEnded(
                                 now,
                                 run.job,
                                 0,
                                 Outcome.SERVED,
                                 true,
-                                Rig.load(left, Math.max(0, left - SLOTS), Math.max(0, SLOTS - left)));
+                                DispatcherHarness.load(left, Math.max(0, left - SLOTS), Math.max(0, SLOTS - left)));
             }
             now = until;
         }
@@ -181,8 +175,8 @@
             one.day(100, 20 * MS, 10 * MS);
             long preferred = one.job(0, 10 * MS);
             one.pass(20 * MS);
-            Worker draining = Rig.worker(preferred, "z1", 0, State.DRAINING);
-            one.modules.get(0).list(one.now, ListForm.CHANGES, List.of(draining));
+            WorkerEndpoint draining = DispatcherHarness.worker(preferred, "z1", 0, EndpointState.DRAINING);
+            one.modules.get(0).endpointsUpdated(one.now, EndpointUpdate.DELTA, List.of(draining));
             for (int i = 0; i < 200; i++) {
                 long at = one.job(0, 10 * MS);
                 assertTrue(at != 0 && at != preferred, "of " + groupSize + ": " + at);
--- a/src/test/java/beechseam/Rig.java
+++ b/src/test/java/beechseam/dispatch/DispatcherHarness.java
@@ -1,36 +1,35 @@
-package beechseam;
+package beechseam.dispatch;
 
-import beechseam.Dispatching.*;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A module under test with the actions it has taken, and short ways to build what it is told. */
-final class Rig implements Actions {
+final class DispatcherHarness implements DispatchActions {
     static final long MS = 1_000_000L;
     static final long S = 1_000_000_000L;
 
-    static final Rules RULES = new Rules(S / 4, 8 * S, 0.25, 8 * S, 3, S, false);
+    static final WorkerRules RULES = new WorkerRules(S / 4, 8 * S, 0.25, 8 * S, 3, S, false);
 
     final List<String> done = new ArrayList<>();
     final Dispatcher module;
     long now = 100 * S;
 
-    Rig(Settings settings) {
+    DispatcherHarness(DispatchSettings settings) {
         this(settings, 7);
     }
 
-    Rig(Settings settings, long seed) {
+    DispatcherHarness(DispatchSettings settings, long seed) {
         module = new Dispatcher(now, settings, seed, this);
     }
 
-    static JobClass of(Effect effect, Group group) {
+    static JobClass of(Idempotency effect, DeduplicationScope group) {
         return new JobClass("c", 400 * MS, 4 * S, 2, 1, 0, effect, group, 2 * S, null);
     }
 
-    static Settings settings(Reports reports, boolean ask, int group, JobClass... classes) {
-        return new Settings(
+    static DispatchSettings settings(LoadReportSource reports, boolean ask, int group, JobClass... classes) {
+        return new DispatchSettings(
                 List.of(classes),
-                new Limits(3, S, true, true, reports == Reports.PROBES, true, 10 * S),
+                new DispatchLimits(3, S, true, true, reports == LoadReportSource.HEALTH_CHECKS, true, 10 * S),
                 RULES,
                 reports,
                 ask,
@@ -46,27 +45,40 @@
     }
 
     /** Workers that may answer "full" for work that they had begun. */
-    static Settings fullIsNoProof(JobClass... classes) {
-        Settings s = settings(classes);
-        Rules rules = new Rules(S / 4, 8 * S, 0.25, 8 * S, 3, S, true);
-        return new Settings(
-                s.classes(), s.limits(), rules, s.reports(), false, 1, 0, s.zone(), true, S, 0.05, 0, 0.01, false);
+    static DispatchSettings fullIsNoProof(JobClass... classes) {
+        DispatchSettings s = settings(classes);
+        WorkerRules rules = new WorkerRules(S / 4, 8 * S, 0.25, 8 * S, 3, S, true);
+        return new DispatchSettings(
+                s.classes(),
+                s.limits(),
+                rules,
+                s.loadReportSource(),
+                false,
+                1,
+                0,
+                s.zone(),
+                true,
+                S,
+                0.05,
+                0,
+                0.01,
+                false);
     }
 
-    static Settings settings(JobClass... classes) {
-        return settings(Reports.ANSWERS, false, 1, classes);
+    static DispatchSettings settings(JobClass... classes) {
+        return settings(LoadReportSource.ANSWERS, false, 1, classes);
     }
 
-    static Worker worker(long id, String zone, long born, State state) {
-        return new Worker(id, 0, zone, "k", born, state);
+    static WorkerEndpoint worker(long id, String zone, long born, EndpointState state) {
+        return new WorkerEndpoint(id, 0, zone, "k", born, state);
     }
 
-    Rig workers(int count) {
-        List<Worker> lines = new ArrayList<>();
+    DispatcherHarness workers(int count) {
+        List<WorkerEndpoint> lines = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            lines.add(worker(i, "z1", 0, State.READY));
+            lines.add(worker(i, "z1", 0, EndpointState.READY));
         }
-        module.list(now, ListForm.CACHED, lines);
+        module.endpointsUpdated(now, EndpointUpdate.CACHED, lines);
         return this;
     }
 
@@ -76,7 +88,7 @@
     }
 
     long job(long id, int jobClass, double slots, long budget) {
-        module.job(now, new Job(id, jobClass, budget, 0, slots, 0));
+        module.jobArrived(now, new Job(id, jobClass, budget, 0, slots, 0));
         return workerOf(id);
     }
 
@@ -89,24 +101,24 @@
         return at;
     }
 
-    void end(long id, int attempt, Outcome outcome, Load load) {
-        module.ended(now, id, attempt, outcome, outcome == Outcome.SERVED, load);
+    void end(long id, int attempt, Outcome outcome, LoadReport load) {
+        module.attemptEnded(now, id, attempt, outcome, outcome == Outcome.SERVED, load);
     }
 
     /** Runs a job from start to end in the given time on whatever worker takes it. */
-    void run(long id, long time, Load load) {
-        module.started(now, id, 0);
+    void run(long id, long time, LoadReport load) {
+        module.attemptStarted(now, id, 0);
         now += time;
         end(id, 0, Outcome.SERVED, load);
     }
 
     void tick(long ns) {
         now += ns;
-        module.wake(now, 1);
+        module.timerFired(now, 1);
     }
 
-    static Load load(double held, double waiting, double free) {
-        return new Load(held, waiting, free, Double.NaN, Double.NaN);
+    static LoadReport load(double held, double waiting, double free) {
+        return new LoadReport(held, waiting, free, Double.NaN, Double.NaN);
     }
 
     boolean did(String action) {
@@ -128,7 +140,7 @@
     }
 
     @Override
-    public void refuse(long job, long pauseNs) {
+    public void shed(long job, long pauseNs) {
         done.add("refuse " + job);
     }
 
@@ -138,17 +150,17 @@
     }
 
     @Override
-    public void probe(long worker) {
+    public void healthCheck(long worker) {
         done.add("probe " + worker);
     }
 
     @Override
-    public void wakeIn(long offsetNs, long tag) {
+    public void scheduleTimer(long offsetNs, long tag) {
         done.add("wake " + tag);
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpoints() {
         done.add("watch");
     }
 
--- a/src/test/java/beechseam/DispatcherTest.java
+++ b/src/test/java/beechseam/dispatch/DispatcherTest.java
@@ -1,10 +1,9 @@
-package beechseam;
+package beechseam.dispatch;
 
-import static beechseam.Rig.MS;
-import static beechseam.Rig.S;
+import static beechseam.dispatch.DispatcherHarness.MS;
+import static beechseam.dispatch.DispatcherHarness.S;
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.*;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,12 +18,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class DispatcherTest {
-    private static final JobClass SAFE = Rig.of(Effect.SAFE, Group.ALL);
-    private static final JobClass UNSAFE = Rig.of(Effect.UNSAFE, Group.ALL);
+    private static final JobClass SAFE = DispatcherHarness.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    private static final JobClass UNSAFE = DispatcherHarness.of(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
 
     @Test
     void leastRecentlyUsedDecidesTies() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
         Set<Long> used = new HashSet<>();
         for (int i = 1; i <= 3; i++) {
             used.add(rig.job(i));
@@ -36,11 +35,11 @@
 
     @Test
     void reportedLoadAndOwnSendsMakeTheLowestEl() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(2);
         long busy = rig.job(1);
         rig.job(2);
-        rig.run(2, 100 * MS, Rig.load(0, 0, 4));
-        rig.run(1, S, Rig.load(6, 2, 0)); // six held there by others, two of them waiting
+        rig.run(2, 100 * MS, DispatcherHarness.load(0, 0, 4));
+        rig.run(1, S, DispatcherHarness.load(6, 2, 0)); // six held there by others, two of them waiting
         long idle = 3 - busy;
         assertEquals(idle, rig.job(3), "raw load 0 against nearly 4");
         assertEquals(idle, rig.job(4), "own sends since the report count: 1 against nearly 4");
@@ -49,11 +48,11 @@
 
     @Test
     void performanceIndexScalesLoad() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(2);
         long slow = 1;
         for (int i = 1; i <= 60; i++) {
             long at = rig.job(i);
-            rig.run(i, at == slow ? 400 * MS : 100 * MS, Rig.load(0, 0, 4));
+            rig.run(i, at == slow ? 400 * MS : 100 * MS, DispatcherHarness.load(0, 0, 4));
         }
         rig.tick(50 * MS);
         int[] got = new int[3];
@@ -66,7 +65,7 @@
 
     @Test
     void holdsPastRejectThresholdAndRefusesWhenTooLate() {
-        Rig rig = new Rig(Rig.settings(UNSAFE)).workers(1);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(UNSAFE)).workers(1);
         int sent = 0;
         while (rig.job(++sent) != 0 && sent < 100) {
             rig.now += 1;
@@ -82,8 +81,8 @@
 
     @Test
     void noWorkerRefusesInTime() {
-        Rig rig = new Rig(Rig.settings(UNSAFE));
-        rig.module.list(rig.now, ListForm.FULL, List.of());
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(UNSAFE));
+        rig.module.endpointsUpdated(rig.now, EndpointUpdate.SNAPSHOT, List.of());
         rig.job(1);
         for (int i = 0; i < 100; i++) {
             rig.tick(50 * MS);
@@ -97,7 +96,7 @@
             value = Outcome.class,
             names = {"ERROR", "LOST", "TIMEOUT", "CANCELLED"})
     void unsafeThatMayHaveRunFailsAndIsNotRepeated(Outcome outcome) {
-        Rig rig = new Rig(Rig.settings(UNSAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(UNSAFE)).workers(3);
         rig.job(1);
         rig.end(1, 0, outcome, null);
         assertEquals(1, rig.count("send 1"));
@@ -110,7 +109,7 @@
             value = Outcome.class,
             names = {"REFUSED", "UNREACHABLE"})
     void whatNeverRanGoesElsewhere(Outcome outcome) {
-        Rig rig = new Rig(Rig.settings(UNSAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(UNSAFE)).workers(3);
         long first = rig.job(1);
         rig.end(1, 0, outcome, null);
         assertEquals(2, rig.count("send 1"));
@@ -128,13 +127,13 @@
             names = {"REFUSED", "ERROR", "LOST", "TIMEOUT", "CANCELLED"})
     void aBarredWorkerGetsNoFurtherAttemptOfTheJob(Outcome outcome) {
         for (boolean barred : new boolean[] {true, false}) {
-            Rig rig = new Rig(Rig.settings(SAFE)).workers(1);
+            DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
             rig.job(1);
             if (barred) {
                 rig.module.barWorker(rig.now, 1, 0);
             }
             rig.end(1, 0, outcome, null);
-            rig.module.list(rig.now, ListForm.FULL, List.of());
+            rig.module.endpointsUpdated(rig.now, EndpointUpdate.SNAPSHOT, List.of());
             rig.workers(1);
             for (int i = 0; i < 10; i++) {
                 rig.tick(50 * MS);
@@ -146,9 +145,9 @@
     /** Where "full" proves nothing an unsafe job ends there, failed; what proves it never ran still does. */
     @Test
     void fullIsNoProofWhereTheRulesSaySo() {
-        Rig rig = new Rig(Rig.fullIsNoProof(UNSAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.fullIsNoProof(UNSAFE)).workers(3);
         rig.job(1);
-        rig.end(1, 0, Outcome.REFUSED, null);
+        rig.end(1, 0, Outcome.REJECTED, null);
         assertEquals(1, rig.count("send 1 "));
         assertTrue(rig.did("fail 1"));
         assertFalse(rig.did("refuse 1"));
@@ -157,25 +156,28 @@
         assertEquals(2, rig.count("send 2 "), "no connection: it never ran");
         rig.end(2, 1, Outcome.NOT_SENT, null);
         assertEquals(3, rig.count("send 2 "), "not sent: it never ran");
-        rig.end(2, 2, Outcome.REFUSED, null);
+        rig.end(2, 2, Outcome.REJECTED, null);
         assertTrue(rig.did("fail 2"));
     }
 
     @Test
     void fullThatIsNoProofBindsTheKeyAndLeavesSafeJobsFree() {
-        Rig rig = new Rig(Rig.fullIsNoProof(Rig.of(Effect.KEYED, Group.ZONE), SAFE));
-        rig.module.list(
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.fullIsNoProof(
+                DispatcherHarness.of(Idempotency.KEYED, DeduplicationScope.ZONE), SAFE));
+        rig.module.endpointsUpdated(
                 rig.now,
-                ListForm.CACHED,
-                List.of(Rig.worker(1, "z1", 0, State.READY), Rig.worker(2, "z2", 0, State.READY)));
+                EndpointUpdate.CACHED,
+                List.of(
+                        DispatcherHarness.worker(1, "z1", 0, EndpointState.READY),
+                        DispatcherHarness.worker(2, "z2", 0, EndpointState.READY)));
         for (int i = 101; i <= 120; i++) { // repeats are saved up
             rig.job(i, 1, 1, 4 * S);
-            rig.run(i, 100 * MS, Rig.load(0, 0, 4));
+            rig.run(i, 100 * MS, DispatcherHarness.load(0, 0, 4));
         }
         assertEquals(1, rig.job(1, 0, 1, 4 * S));
-        rig.end(1, 0, Outcome.REFUSED, null);
+        rig.end(1, 0, Outcome.REJECTED, null);
         assertEquals(1, rig.job(2, 1, 1, 4 * S), "nearer by");
-        rig.end(2, 0, Outcome.REFUSED, null);
+        rig.end(2, 0, Outcome.REJECTED, null);
         for (int i = 0; i < 100; i++) {
             rig.tick(50 * MS);
         }
@@ -186,11 +188,14 @@
 
     @Test
     void keyedStaysInItsGroupAndWindow() {
-        Rig rig = new Rig(Rig.settings(Rig.of(Effect.KEYED, Group.ZONE)));
-        rig.module.list(
+        DispatcherHarness rig = new DispatcherHarness(
+                DispatcherHarness.settings(DispatcherHarness.of(Idempotency.KEYED, DeduplicationScope.ZONE)));
+        rig.module.endpointsUpdated(
                 rig.now,
-                ListForm.CACHED,
-                List.of(Rig.worker(1, "z1", 0, State.READY), Rig.worker(2, "z2", 0, State.READY)));
+                EndpointUpdate.CACHED,
+                List.of(
+                        DispatcherHarness.worker(1, "z1", 0, EndpointState.READY),
+                        DispatcherHarness.worker(2, "z2", 0, EndpointState.READY)));
         assertEquals(1, rig.job(1));
         rig.end(1, 0, Outcome.LOST, null);
         for (int i = 0; i < 100; i++) {
@@ -204,21 +209,22 @@
     /** An attempt that never ran does not clear the copy that may have: the key binds to the copy's zone. */
     @Test
     void keyedCopyThatMayHaveRunBindsAfterTheFirstIsTurnedAway() {
-        Rig rig = new Rig(Rig.settings(Rig.of(Effect.KEYED, Group.ZONE)));
-        rig.module.list(
+        DispatcherHarness rig = new DispatcherHarness(
+                DispatcherHarness.settings(DispatcherHarness.of(Idempotency.KEYED, DeduplicationScope.ZONE)));
+        rig.module.endpointsUpdated(
                 rig.now,
-                ListForm.CACHED,
+                EndpointUpdate.CACHED,
                 List.of(
-                        Rig.worker(1, "z1", 0, State.READY),
-                        Rig.worker(2, "z1", 0, State.READY),
-                        Rig.worker(3, "z2", 0, State.READY)));
+                        DispatcherHarness.worker(1, "z1", 0, EndpointState.READY),
+                        DispatcherHarness.worker(2, "z1", 0, EndpointState.READY),
+                        DispatcherHarness.worker(3, "z2", 0, EndpointState.READY)));
         rig.job(1);
         for (int i = 0; i < 6; i++) {
             rig.tick(50 * MS);
         }
         assertEquals(2, rig.count("send 1"), "not started in time: a copy in the same zone");
         rig.end(1, 1, Outcome.LOST, null);
-        rig.end(1, 0, Outcome.REFUSED, null);
+        rig.end(1, 0, Outcome.REJECTED, null);
         for (int i = 0; i < 100; i++) {
             rig.tick(50 * MS);
         }
@@ -230,7 +236,7 @@
     /** Doubt is bounded and fades: a fleet that failed as a whole is used again by itself. */
     @Test
     void wholeFleetDoubtedIsTriedAgain() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
         for (int i = 1; i <= 30; i++) {
             rig.job(i);
             for (int a = 0; a < rig.count("send " + i + " "); a++) {
@@ -246,11 +252,12 @@
 
     @Test
     void listIsAskedForAgainWithinBoundsHoweverOftenItFails() {
-        Rig rig = new Rig(Rig.settings(Reports.ANSWERS, true, 1, SAFE));
+        DispatcherHarness rig =
+                new DispatcherHarness(DispatcherHarness.settings(LoadReportSource.ANSWERS, true, 1, SAFE));
         for (int i = 2; i <= 20; i++) {
-            rig.module.list(rig.now, ListForm.FAILED, List.of());
+            rig.module.endpointsUpdated(rig.now, EndpointUpdate.FAILED, List.of());
             rig.now += 2 * S; // a quarter of the time within which the list must be asked for
-            rig.module.wake(rig.now, 2);
+            rig.module.timerFired(rig.now, 2);
             assertEquals(i, rig.count("watch"), "one call for each failure");
             assertEquals(i - 1, rig.count("wake 2"));
         }
@@ -258,11 +265,13 @@
 
     @Test
     void probesAreBoundedByTheirPrice() {
-        Rig rig = new Rig(Rig.settings(Reports.PROBES, false, 1, SAFE)).workers(4);
+        DispatcherHarness rig = new DispatcherHarness(
+                        DispatcherHarness.settings(LoadReportSource.HEALTH_CHECKS, false, 1, SAFE))
+                .workers(4);
         for (int i = 0; i < 200; i++) {
             rig.tick(500 * MS);
             for (long w = 1; w <= 4; w++) {
-                rig.module.probed(rig.now, w, true, Rig.load(0, 0, 4));
+                rig.module.healthCheckCompleted(rig.now, w, true, DispatcherHarness.load(0, 0, 4));
             }
             if (i == 100) {
                 rig.done.clear();
@@ -276,7 +285,7 @@
 
     @Test
     void repeatsHaveABudget() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(40);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(40);
         for (int i = 1; i <= 60; i++) {
             rig.job(i);
             rig.end(i, 0, Outcome.LOST, null);
@@ -288,12 +297,15 @@
 
     @Test
     void nothingGoesToDrainingOrGoneWorkers() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(3);
-        rig.module.list(rig.now, ListForm.CHANGES, List.of(Rig.worker(1, "z1", 0, State.DRAINING)));
-        rig.module.list(
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
+        rig.module.endpointsUpdated(
+                rig.now, EndpointUpdate.DELTA, List.of(DispatcherHarness.worker(1, "z1", 0, EndpointState.DRAINING)));
+        rig.module.endpointsUpdated(
                 rig.now,
-                ListForm.FULL,
-                List.of(Rig.worker(1, "z1", 0, State.DRAINING), Rig.worker(3, "z1", 0, State.READY)));
+                EndpointUpdate.SNAPSHOT,
+                List.of(
+                        DispatcherHarness.worker(1, "z1", 0, EndpointState.DRAINING),
+                        DispatcherHarness.worker(3, "z1", 0, EndpointState.READY)));
         for (int i = 1; i <= 4; i++) {
             long at = rig.job(i);
             assertTrue(at == 3 || at == 0, "sent to " + at);
@@ -303,27 +315,31 @@
 
     @Test
     void askedForListIsAskedAgainAfterAFailureAndNeverLongNotAsked() {
-        Rig rig = new Rig(Rig.settings(Reports.ANSWERS, true, 1, SAFE));
+        DispatcherHarness rig =
+                new DispatcherHarness(DispatcherHarness.settings(LoadReportSource.ANSWERS, true, 1, SAFE));
         assertEquals(1, rig.count("watch"));
-        rig.module.list(rig.now, ListForm.FAILED, List.of());
+        rig.module.endpointsUpdated(rig.now, EndpointUpdate.FAILED, List.of());
         rig.now += 2 * S;
-        rig.module.wake(rig.now, 2);
+        rig.module.timerFired(rig.now, 2);
         assertEquals(2, rig.count("watch"));
     }
 
     @Test
     void coldWorkerTakesItsBudgetOnlyAndSmallHintsDoNotCheatIt() {
-        Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, 4, SAFE)).workers(1);
+        DispatcherHarness rig =
+                new DispatcherHarness(DispatcherHarness.settings(LoadReportSource.ANSWERS, false, 4, SAFE)).workers(1);
         for (int i = 1; i <= 20; i++) {
             rig.job(i);
-            rig.run(i, 300 * MS, Rig.load(0, 0, 4));
+            rig.run(i, 300 * MS, DispatcherHarness.load(0, 0, 4));
         }
-        rig.module.list(
+        rig.module.endpointsUpdated(
                 rig.now,
-                ListForm.CHANGES,
-                List.of(Rig.worker(1, "z1", 0, State.GONE), Rig.worker(8, "z1", rig.now, State.READY)));
+                EndpointUpdate.DELTA,
+                List.of(
+                        DispatcherHarness.worker(1, "z1", 0, EndpointState.REMOVED),
+                        DispatcherHarness.worker(8, "z1", rig.now, EndpointState.READY)));
         for (int i = 101; i <= 140; i++) {
-            rig.module.job(rig.now, new Job(i, 0, 4 * S, MS, 1, 0));
+            rig.module.jobArrived(rig.now, new Job(i, 0, 4 * S, MS, 1, 0));
         }
         // four slots at a quarter, three times that for 1 s, half of it used: 1.5 s of work, a part ours
         long cold =
@@ -334,12 +350,12 @@
     /** Opening a connection has a price: among equals the worker with one open gets the job. */
     @Test
     void openConnectionIsPreferredWhereANewOneIsPriced() {
-        Settings s = Rig.settings(SAFE);
-        Rig rig = new Rig(new Settings(
+        DispatchSettings s = DispatcherHarness.settings(SAFE);
+        DispatcherHarness rig = new DispatcherHarness(new DispatchSettings(
                         s.classes(),
                         s.limits(),
                         s.rules(),
-                        s.reports(),
+                        s.loadReportSource(),
                         false,
                         1,
                         0,
@@ -352,9 +368,9 @@
                         false))
                 .workers(3);
         long first = rig.job(1);
-        rig.run(1, 100 * MS, Rig.load(0, 0, 4));
+        rig.run(1, 100 * MS, DispatcherHarness.load(0, 0, 4));
         assertEquals(first, rig.job(2), "its connection is open, the others' are not");
-        rig.run(2, 100 * MS, Rig.load(0, 0, 4));
+        rig.run(2, 100 * MS, DispatcherHarness.load(0, 0, 4));
         rig.now += 11 * S;
         assertNotEquals(first, rig.job(3), "it has closed: the least recently used");
     }
@@ -362,14 +378,14 @@
     /** A hundred dispatchers that share nothing use a cold worker and together do not push it over. */
     @Test
     void hundredDispatchersKeepTheColdBudgetTogether() {
-        List<Rig> group = new ArrayList<>();
+        List<DispatcherHarness> group = new ArrayList<>();
         for (int me = 0; me < 100; me++) {
-            Settings s = Rig.settings(Reports.ANSWERS, false, 100, SAFE);
-            group.add(new Rig(new Settings(
+            DispatchSettings s = DispatcherHarness.settings(LoadReportSource.ANSWERS, false, 100, SAFE);
+            group.add(new DispatcherHarness(new DispatchSettings(
                     s.classes(),
                     s.limits(),
                     s.rules(),
-                    s.reports(),
+                    s.loadReportSource(),
                     false,
                     100,
                     me,
@@ -385,10 +401,13 @@
         List<Long> sends = new ArrayList<>();
         for (int step = 0; step < 60; step++) {
             long now = born + step * 100 * MS;
-            for (Rig rig : group) {
+            for (DispatcherHarness rig : group) {
                 rig.now = now;
                 if (step == 0) {
-                    rig.module.list(now, ListForm.FULL, List.of(Rig.worker(8, "z1", born, State.READY)));
+                    rig.module.endpointsUpdated(
+                            now,
+                            EndpointUpdate.SNAPSHOT,
+                            List.of(DispatcherHarness.worker(8, "z1", born, EndpointState.READY)));
                 }
                 long before = rig.count("send");
                 rig.tick(0);
@@ -409,14 +428,17 @@
 
     @Test
     void restartedDispatcherLeavesColdWorkersForAWhile() {
-        Rig rig = new Rig(Rig.settings(SAFE));
-        rig.module.list(rig.now, ListForm.CACHED, List.of(Rig.worker(1, "z1", rig.now - S, State.READY)));
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE));
+        rig.module.endpointsUpdated(
+                rig.now,
+                EndpointUpdate.CACHED,
+                List.of(DispatcherHarness.worker(1, "z1", rig.now - S, EndpointState.READY)));
         assertEquals(0, rig.job(1));
     }
 
     @Test
     void silentWorkerIsDoubtedAndItsSafeJobCopiedOnce() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(2);
         long silent = rig.job(1);
         for (int i = 0; i < 4; i++) {
             rig.tick(50 * MS);
@@ -426,7 +448,7 @@
         }
         assertEquals(2, rig.count("send 1"), "one copy");
         assertNotEquals(silent, rig.workerOf(1));
-        rig.module.started(rig.now, 1, 1);
+        rig.module.attemptStarted(rig.now, 1, 1);
         assertTrue(rig.did("cancel 1 0"), "the one that waits is not needed once the other runs");
         for (int i = 2; i <= 4; i++) {
             assertNotEquals(silent, rig.job(i), "a silent worker holding one job looks idle and is not");
@@ -438,13 +460,15 @@
     void copiesOfManyStayFewWhereEachKnowsLittle() {
         int[] copies = new int[2];
         for (int i = 0; i < 2; i++) {
-            Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, i == 0 ? 1 : 100, SAFE)).workers(20);
+            DispatcherHarness rig = new DispatcherHarness(
+                            DispatcherHarness.settings(LoadReportSource.ANSWERS, false, i == 0 ? 1 : 100, SAFE))
+                    .workers(20);
             for (long id = 1; id <= 100; id++) {
                 rig.job(id);
                 rig.tick(150 * MS); // it does not start
                 copies[i] += rig.count("send " + id + " ") > 1 ? 1 : 0;
-                rig.module.started(rig.now, id, 0);
-                rig.end(id, 0, Outcome.SERVED, Rig.load(0, 0, 2));
+                rig.module.attemptStarted(rig.now, id, 0);
+                rig.end(id, 0, Outcome.SERVED, DispatcherHarness.load(0, 0, 2));
                 rig.now += 10 * S;
             }
         }
@@ -453,15 +477,15 @@
 
     @Test
     void workerSeenBusyIsNotShunnedForGood() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(2);
         long busy = rig.job(1);
         rig.job(2);
-        rig.run(1, 100 * MS, Rig.load(12, 8, 0));
-        rig.run(2, 100 * MS, Rig.load(0, 0, 4));
+        rig.run(1, 100 * MS, DispatcherHarness.load(12, 8, 0));
+        rig.run(2, 100 * MS, DispatcherHarness.load(0, 0, 4));
         boolean used = false;
         for (int i = 10; i < 60 && !used; i++) {
             used = rig.job(i) == busy;
-            rig.run(i, 100 * MS, used ? null : Rig.load(0, 0, 4));
+            rig.run(i, 100 * MS, used ? null : DispatcherHarness.load(0, 0, 4));
             rig.tick(50 * MS);
         }
         assertTrue(used, "its report has aged");
@@ -469,9 +493,11 @@
 
     @Test
     void lessWorthyClassLeavesQueuesToTheWorthier() {
-        JobClass dear = new JobClass("d", 400 * MS, 4 * S, 2, 10, 0, Effect.UNSAFE, Group.ALL, 0, null);
-        JobClass patient = new JobClass("p", 4 * S, 20 * S, 2, 1, 0, Effect.UNSAFE, Group.ALL, 0, null);
-        Rig rig = new Rig(Rig.settings(dear, patient)).workers(1);
+        JobClass dear = new JobClass(
+                "d", 400 * MS, 4 * S, 2, 10, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        JobClass patient =
+                new JobClass("p", 4 * S, 20 * S, 2, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(dear, patient)).workers(1);
         int id = 0;
         while (rig.job(++id, 1, 1, 20 * S) != 0) {
             assertTrue(id < 100);
@@ -481,15 +507,15 @@
 
     @Test
     void lateAndUnknownEventsAreIgnored() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(1);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
         rig.job(1);
-        rig.module.left(rig.now, 1);
+        rig.module.clientDisconnected(rig.now, 1);
         rig.end(1, 0, Outcome.CANCELLED, null);
         rig.end(1, 0, Outcome.SERVED, null);
-        rig.module.left(rig.now, 77);
-        rig.module.started(rig.now, 77, 0);
-        rig.module.progress(rig.now, 1, 5, 0.5);
-        rig.module.probed(rig.now, 99, true, null);
+        rig.module.clientDisconnected(rig.now, 77);
+        rig.module.attemptStarted(rig.now, 77, 0);
+        rig.module.attemptProgressed(rig.now, 1, 5, 0.5);
+        rig.module.healthCheckCompleted(rig.now, 99, true, null);
         assertEquals(0, rig.count("refuse") + rig.count("fail"), "the client left: no answer is owed");
     }
 
@@ -499,11 +525,15 @@
     }
 
     private static List<String> mixedDay() {
-        Rig rig = new Rig(Rig.settings(SAFE, UNSAFE)).workers(5);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE, UNSAFE)).workers(5);
         for (int i = 1; i <= 200; i++) {
             rig.job(i, i % 2, 1 + i % 3, 4 * S);
             if (i > 5) {
-                rig.end(i - 5, 0, i % 7 == 0 ? Outcome.LOST : Outcome.SERVED, Rig.load(i % 4, 0, 4 - i % 4));
+                rig.end(
+                        i - 5,
+                        0,
+                        i % 7 == 0 ? Outcome.LOST : Outcome.SERVED,
+                        DispatcherHarness.load(i % 4, 0, 4 - i % 4));
             }
             rig.tick(30 * MS);
         }
@@ -513,14 +543,17 @@
     /** Where only probes bring reports the oldest is renewed, and the job goes by what they told. */
     @Test
     void slowProbesFeedTheTable() {
-        Rig rig = new Rig(Rig.settings(Reports.PROBES, false, 1, SAFE)).workers(3);
+        DispatcherHarness rig = new DispatcherHarness(
+                        DispatcherHarness.settings(LoadReportSource.HEALTH_CHECKS, false, 1, SAFE))
+                .workers(3);
         rig.job(1);
         rig.tick(S);
         assertEquals(3, rig.count("probe"), "each worker once");
         rig.tick(S);
         assertEquals(3, rig.count("probe"), "none twice while its answer is out");
         for (int i = 1; i <= 3; i++) {
-            rig.module.probed(rig.now, i, true, Rig.load(i == 2 ? 0 : 4, 0, i == 2 ? 4 : 0));
+            rig.module.healthCheckCompleted(
+                    rig.now, i, true, DispatcherHarness.load(i == 2 ? 0 : 4, 0, i == 2 ? 4 : 0));
         }
         assertEquals(2, rig.job(2));
     }
@@ -533,9 +566,12 @@
     void manyToldTheSameDoNotAllChooseTheSame() {
         int[] got = new int[41];
         for (int me = 0; me < 100; me++) {
-            Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, 100, SAFE), me).workers(40);
+            DispatcherHarness rig = new DispatcherHarness(
+                            DispatcherHarness.settings(LoadReportSource.ANSWERS, false, 100, SAFE), me)
+                    .workers(40);
             for (int w = 1; w <= 40; w++) {
-                rig.module.probed(rig.now, w, true, Rig.load(w == 7 ? 0 : 2, 0, w == 7 ? 4 : 2));
+                rig.module.healthCheckCompleted(
+                        rig.now, w, true, DispatcherHarness.load(w == 7 ? 0 : 2, 0, w == 7 ? 4 : 2));
             }
             got[(int) rig.job(1)]++;
         }
@@ -546,13 +582,13 @@
     /** A list with live weights is a report of all workers at once, and costs no probe. */
     @Test
     void liveWeightsTellWhatWorkersHold() {
-        Settings s = Rig.settings(SAFE);
+        DispatchSettings s = DispatcherHarness.settings(SAFE);
         for (boolean live : new boolean[] {false, true}) {
-            Rig rig = new Rig(new Settings(
+            DispatcherHarness rig = new DispatcherHarness(new DispatchSettings(
                     s.classes(),
                     s.limits(),
                     s.rules(),
-                    s.reports(),
+                    s.loadReportSource(),
                     false,
                     1,
                     0,
@@ -565,12 +601,13 @@
                     false,
                     live));
             for (double idle : new double[] {4, 0}) {
-                List<Worker> lines = new ArrayList<>();
+                List<WorkerEndpoint> lines = new ArrayList<>();
                 for (int w = 1; w <= 5; w++) { // all idle, then two jobs a slot at all but the fourth
-                    lines.add(new Worker(w, 0, "z1", "k", 0, State.READY, idle > 0 || w == 4 ? 4 : 4 / 3.0));
+                    lines.add(new WorkerEndpoint(
+                            w, 0, "z1", "k", 0, EndpointState.READY, idle > 0 || w == 4 ? 4 : 4 / 3.0));
                 }
                 rig.now += S;
-                rig.module.list(rig.now, ListForm.FULL, lines);
+                rig.module.endpointsUpdated(rig.now, EndpointUpdate.SNAPSHOT, lines);
             }
             assertEquals(live, rig.job(1) == 4 && rig.job(2) == 4);
         }
@@ -583,13 +620,16 @@
     @Test
     void inALargeGroupAFreeSlotElsewhereIsTakenAtOnce() {
         for (int group : new int[] {1, 14}) {
-            Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, group, SAFE));
-            rig.module.list(
+            DispatcherHarness rig =
+                    new DispatcherHarness(DispatcherHarness.settings(LoadReportSource.ANSWERS, false, group, SAFE));
+            rig.module.endpointsUpdated(
                     rig.now,
-                    ListForm.CACHED,
-                    List.of(Rig.worker(1, "z1", 0, State.READY), Rig.worker(2, "z2", 0, State.READY)));
-            rig.module.probed(rig.now, 1, true, Rig.load(4, 0, 0));
-            rig.module.probed(rig.now, 2, true, Rig.load(0, 0, 4));
+                    EndpointUpdate.CACHED,
+                    List.of(
+                            DispatcherHarness.worker(1, "z1", 0, EndpointState.READY),
+                            DispatcherHarness.worker(2, "z2", 0, EndpointState.READY)));
+            rig.module.healthCheckCompleted(rig.now, 1, true, DispatcherHarness.load(4, 0, 0));
+            rig.module.healthCheckCompleted(rig.now, 2, true, DispatcherHarness.load(0, 0, 4));
             assertEquals(group == 1 ? 1 : 2, rig.job(1));
         }
     }
@@ -597,11 +637,13 @@
     /** Of workers that are gone no probe brings news: asked for each job, they took thousands a second. */
     @Test
     void aWorkerThatFailsAProbeIsNotAskedAgainForEachJob() {
-        Rig rig = new Rig(Rig.settings(Reports.PROBES, false, 14, SAFE)).workers(1);
+        DispatcherHarness rig = new DispatcherHarness(
+                        DispatcherHarness.settings(LoadReportSource.HEALTH_CHECKS, false, 14, SAFE))
+                .workers(1);
         for (int i = 1; i <= 20; i++) {
             rig.job(i);
             rig.tick(10 * MS);
-            rig.module.probed(rig.now, 1, false, null);
+            rig.module.healthCheckCompleted(rig.now, 1, false, null);
         }
         assertEquals(1, rig.count("probe 1"), "twenty jobs in half a report's age");
     }
@@ -609,10 +651,12 @@
     /** On small workers a whole slot kept back left every second one idle, and refused work that fitted. */
     @Test
     void lessWorthyJobsUseAllSlotsOfAFreeWorker() {
-        JobClass dear = new JobClass("d", 400 * MS, 4 * S, 2, 10, 0, Effect.SAFE, Group.ALL, 0, null);
-        JobClass cheap = new JobClass("p", 400 * MS, 4 * S, 2, 1, 0, Effect.SAFE, Group.ALL, 0, null);
-        Rig rig = new Rig(Rig.settings(dear, cheap)).workers(1);
-        rig.module.probed(rig.now, 1, true, Rig.load(0, 0, 2));
+        JobClass dear =
+                new JobClass("d", 400 * MS, 4 * S, 2, 10, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        JobClass cheap =
+                new JobClass("p", 400 * MS, 4 * S, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(dear, cheap)).workers(1);
+        rig.module.healthCheckCompleted(rig.now, 1, true, DispatcherHarness.load(0, 0, 2));
         assertEquals(1, rig.job(1, 1, 1, 4 * S));
         assertEquals(1, rig.job(2, 1, 1, 4 * S), "the second slot is free");
     }
@@ -620,13 +664,14 @@
     /** Three nodes that all trust an old report of an idle worker pile on it together. */
     @Test
     void anOldReportOfAnIdleWorkerIsNotTrustedOverTheOthers() {
-        Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, 3, SAFE)).workers(2);
+        DispatcherHarness rig =
+                new DispatcherHarness(DispatcherHarness.settings(LoadReportSource.ANSWERS, false, 3, SAFE)).workers(2);
         for (int i = 1; i <= 200; i++) { // the usual: half of each worker's slots taken by others
             rig.job(i);
-            rig.run(i, 100 * MS, Rig.load(3 + i % 2, 0, 1 - i % 2));
+            rig.run(i, 100 * MS, DispatcherHarness.load(3 + i % 2, 0, 1 - i % 2));
         }
-        rig.module.probed(rig.now, 1, true, Rig.load(0, 0, 4));
-        rig.module.probed(rig.now, 2, true, Rig.load(2, 0, 2));
+        rig.module.healthCheckCompleted(rig.now, 1, true, DispatcherHarness.load(0, 0, 4));
+        rig.module.healthCheckCompleted(rig.now, 2, true, DispatcherHarness.load(2, 0, 2));
         rig.now += 2 * S;
         Set<Long> used = new HashSet<>();
         for (int i = 201; i <= 202; i++) {
@@ -638,15 +683,15 @@
     /** Where worth is counted by work a short class is not worthier for its shortness. */
     @Test
     void worthByWorkRanksClassesByTheirWorthAlone() {
-        Settings s = Rig.settings(
-                Rig.of(Effect.SAFE, Group.ALL),
-                new JobClass("long", 4 * S, 9 * S, 2, 1, 0, Effect.SAFE, Group.ALL, 0, null));
+        DispatchSettings s = DispatcherHarness.settings(
+                DispatcherHarness.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                new JobClass("long", 4 * S, 9 * S, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null));
         for (boolean byWork : new boolean[] {false, true}) {
-            Rig rig = new Rig(new Settings(
+            DispatcherHarness rig = new DispatcherHarness(new DispatchSettings(
                             s.classes(),
                             s.limits(),
                             s.rules(),
-                            s.reports(),
+                            s.loadReportSource(),
                             false,
                             1,
                             0,
@@ -658,7 +703,7 @@
                             0.01,
                             byWork))
                     .workers(1);
-            rig.module.probed(rig.now, 1, true, Rig.load(20, 16, 0));
+            rig.module.healthCheckCompleted(rig.now, 1, true, DispatcherHarness.load(20, 16, 0));
             assertEquals(byWork ? 1 : 0, rig.job(1, 1, 1, 9 * S), "the long class queues unless it yields");
         }
     }
@@ -669,23 +714,25 @@
      */
     @Test
     void lateStartsAtSomeWorkersDoNotShutTheOthers() {
-        Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, 14, SAFE)).workers(40);
+        DispatcherHarness rig = new DispatcherHarness(
+                        DispatcherHarness.settings(LoadReportSource.ANSWERS, false, 14, SAFE))
+                .workers(40);
         for (int i = 1; i <= 60; i++) {
             assertNotEquals(0, rig.job(i), "forty workers tell of free slots");
             rig.now += S;
-            rig.module.started(rig.now, i, 0);
-            rig.end(i, 0, Outcome.SERVED, Rig.load(0, 0, 4));
+            rig.module.attemptStarted(rig.now, i, 0);
+            rig.end(i, 0, Outcome.SERVED, DispatcherHarness.load(0, 0, 4));
         }
     }
 
     /** On days with clients in haste every second first try was refused as a retry that came too late. */
     @Test
     void aShortBudgetMeansARetryOnlyWhereRetriesAreNotMarked() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(4);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(4);
         rig.job(1);
         assertEquals(0, rig.job(2, 0, 1, S), "its aim is long past: refused");
         assertTrue(rig.did("refuse 2"));
-        rig.module.job(rig.now, new Job(3, 0, S, 0, 1, 0, true));
+        rig.module.jobArrived(rig.now, new Job(3, 0, S, 0, 1, 0, true));
         assertNotEquals(0, rig.workerOf(3));
     }
 
@@ -694,14 +741,14 @@
     void aWorkerThatAnswersProbesAgainIsTrustedSooner() {
         long[] placedAfter = {0, 0};
         for (int told = 0; told < 2; told++) {
-            Rig rig = new Rig(Rig.settings(SAFE)).workers(1);
+            DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
             for (int i = 1; i <= 6; i++) {
-                rig.module.probed(rig.now, 1, false, null);
+                rig.module.healthCheckCompleted(rig.now, 1, false, null);
             }
             for (int i = 1; placedAfter[told] == 0; i++) {
                 rig.now += S / 2;
                 if (told == 1) {
-                    rig.module.probed(rig.now, 1, true, Rig.load(0, 0, 4));
+                    rig.module.healthCheckCompleted(rig.now, 1, true, DispatcherHarness.load(0, 0, 4));
                 }
                 placedAfter[told] = rig.job(i) == 0 ? 0 : i;
             }
@@ -712,10 +759,10 @@
     /** Long queues told once shut a dispatcher: it sent nothing more, and so was told nothing better. */
     @Test
     void longQueuesToldOnceDoNotShutADispatcherForGood() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(4);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(4);
         for (int i = 1; i <= 60; i++) {
             rig.job(i);
-            rig.run(i, S / 10, Rig.load(40, 36, 0));
+            rig.run(i, S / 10, DispatcherHarness.load(40, 36, 0));
             rig.now += 20 * S;
         }
         assertNotEquals(0, rig.job(100), "what was told is old: the worker may be tried");
@@ -724,27 +771,28 @@
     /** A successor must not learn anew which worker is slow, doubted or full; odd figures are passed over. */
     @Test
     void aSuccessorKnowsWhatItsElderLearned() {
-        Rig elder = new Rig(Rig.settings(SAFE)).workers(3);
+        DispatcherHarness elder = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
         for (int i = 1; i <= 60; i++) {
             long at = elder.job(i);
-            elder.run(i, at == 1 ? 20 * MS : 120 * MS, Rig.load(1, 0, 3));
-        }
-        Rig fresh = new Rig(Rig.settings(SAFE)).workers(3);
-        Rig younger = new Rig(Rig.settings(SAFE)).workers(3);
-        Map<String, double[]> learned = elder.module.handOver(elder.now);
-        learned.put("class c2", new double[] {1});
-        learned.put("worker 2", new double[] {1, 2});
-        learned.put("worker 99", new double[6]);
-        younger.module.recall(younger.now, learned);
+            elder.run(i, at == 1 ? 20 * MS : 120 * MS, DispatcherHarness.load(1, 0, 3));
+        }
+        DispatcherHarness fresh = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
+        DispatcherHarness younger = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(3);
+        LearnedState learned = elder.module.exportLearnedState(elder.now);
+        learned.entries().put("class c2", new double[] {1});
+        learned.entries().put("worker 2", new double[] {1, 2});
+        learned.entries().put("worker 99", new double[6]);
+        younger.module.importLearnedState(younger.now, learned);
         long[] toFast = new long[2];
         for (int i = 1; i <= 6; i++) {
             toFast[0] += fresh.job(i) == 1 ? 1 : 0;
             toFast[1] += younger.job(i) == 1 ? 1 : 0;
         }
         assertTrue(toFast[1] > toFast[0], toFast[1] + " of 6 where a fresh one sends " + toFast[0]);
-        Map<String, double[]> before = elder.module.handOver(elder.now);
+        Map<String, double[]> before =
+                elder.module.exportLearnedState(elder.now).entries();
         String row = "worker " + elder.job(100);
-        double[] after = elder.module.handOver(elder.now).get(row);
+        double[] after = elder.module.exportLearnedState(elder.now).entries().get(row);
         assertEquals(before.get(row)[4] + 1, after[4], 1e-9, "its own hop is others' load to another");
     }
 
@@ -755,32 +803,39 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 3600})
     void theRightToWarmGoesOverWithTheRecordOfWhatWasSent(long leadOfYounger) {
-        Rig elder = new Rig(Rig.settings(SAFE));
-        Rig younger = new Rig(Rig.settings(SAFE));
+        DispatcherHarness elder = new DispatcherHarness(DispatcherHarness.settings(SAFE));
+        DispatcherHarness younger = new DispatcherHarness(DispatcherHarness.settings(SAFE));
         elder.now += 2 * S;
         younger.now += (2 + leadOfYounger) * S;
-        for (Rig each : List.of(elder, younger)) {
-            each.module.list(each.now, ListForm.FULL, List.of(Rig.worker(1, "z1", each.now, State.READY)));
+        for (DispatcherHarness each : List.of(elder, younger)) {
+            each.module.endpointsUpdated(
+                    each.now,
+                    EndpointUpdate.SNAPSHOT,
+                    List.of(DispatcherHarness.worker(1, "z1", each.now, EndpointState.READY)));
         }
         int most = 0;
         while (elder.job(most + 1) != 0) {
             most++; // until the cold budget is spent
         }
         assertTrue(most > 0);
-        younger.module.recall(younger.now, elder.module.handOver(elder.now));
+        younger.module.importLearnedState(younger.now, elder.module.exportLearnedState(elder.now));
         assertEquals(0, younger.job(1), "spent by the elder");
         younger.now += S + 1;
         assertNotEquals(0, younger.job(2), "it need not wait, as after a plain start");
-        Rig plain = new Rig(Rig.settings(SAFE));
-        plain.module.list(plain.now, ListForm.FULL, List.of(Rig.worker(1, "z1", plain.now, State.READY)));
+        DispatcherHarness plain = new DispatcherHarness(DispatcherHarness.settings(SAFE));
+        plain.module.endpointsUpdated(
+                plain.now,
+                EndpointUpdate.SNAPSHOT,
+                List.of(DispatcherHarness.worker(1, "z1", plain.now, EndpointState.READY)));
         assertEquals(0, plain.job(1), "what an earlier life has sent is not known");
     }
 
     /** Its time is shorter than a usual run: waiting cannot help it, and a free worker may be fast enough. */
     @Test
     void aJobWithLessTimeThanAUsualRunIsPlacedAtOnce() {
-        JobClass lateToo = new JobClass("c", 400 * MS, 4 * S, 2, 1, 0.5, Effect.SAFE, Group.ALL, 0, null);
-        Rig rig = new Rig(Rig.settings(lateToo)).workers(2);
+        JobClass lateToo =
+                new JobClass("c", 400 * MS, 4 * S, 2, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(lateToo)).workers(2);
         assertNotEquals(0, rig.job(1, 0, 1, 200 * MS));
     }
 
@@ -791,47 +846,60 @@
      */
     @Test
     void theScaleOfRunTimesAndIndicesHolds() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(4);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(4);
         java.util.Random random = new java.util.Random(3);
         for (int id = 1; id <= 60_000; id++) {
             rig.done.clear();
             assertNotEquals(0, rig.job(id), "job " + id);
             rig.run(id, random.nextInt(10) == 0 ? 2 * MS : MS / 50, null);
         }
-        double[] kind = rig.module.handOver(rig.now).get("kind k");
+        double[] kind = rig.module.exportLearnedState(rig.now).entries().get("kind k");
         assertTrue(Math.abs(kind[0]) < 1, "the mean of the indices is about 1, not e^" + kind[0]);
     }
 
-    private static Settings oneAttemptOut(int group, JobClass... classes) {
-        Settings s = Rig.settings(Reports.ANSWERS, false, group, classes);
-        Limits limits = new Limits(3, S, true, true, false, false, 10 * S);
-        return new Settings(
-                s.classes(), limits, s.rules(), s.reports(), false, group, 0, "z1", true, 2 * S, 0.02, 0, 0, false);
+    private static DispatchSettings oneAttemptOut(int group, JobClass... classes) {
+        DispatchSettings s = DispatcherHarness.settings(LoadReportSource.ANSWERS, false, group, classes);
+        DispatchLimits limits = new DispatchLimits(3, S, true, true, false, false, 10 * S);
+        return new DispatchSettings(
+                s.classes(),
+                limits,
+                s.rules(),
+                s.loadReportSource(),
+                false,
+                group,
+                0,
+                "z1",
+                true,
+                2 * S,
+                0.02,
+                0,
+                0,
+                false);
     }
 
     /** Behind another node's job a start is late though all is well: that is load, and no doubt follows. */
     @Test
     void aLateStartTellsLoadBeforeItRaisesDoubt() {
-        Rig rig = new Rig(oneAttemptOut(5, SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(oneAttemptOut(5, SAFE)).workers(2);
         long busy = rig.job(1);
         for (int i = 0; i < 7; i++) {
             rig.tick(50 * MS);
         }
-        assertFalse(rig.module.avoids(rig.now, busy), "a run of the class may be before it");
+        assertFalse(rig.module.isEjected(rig.now, busy), "a run of the class may be before it");
         rig.job(2);
         assertNotEquals(busy, rig.workerOf(2), "the other has room for all that is known");
-        rig.module.started(rig.now, 2, 0);
+        rig.module.attemptStarted(rig.now, 2, 0);
         assertNotEquals(busy, rig.job(3), "it is taken to be full, the other has begun at once");
         for (int i = 0; i < 100; i++) {
             rig.tick(50 * MS);
         }
-        assertTrue(rig.module.avoids(rig.now, busy), "past the time that takes it is a fault");
+        assertTrue(rig.module.isEjected(rig.now, busy), "past the time that takes it is a fault");
     }
 
     /** Where a job may have one attempt out, one that waits is taken back, and goes on once that is told. */
     @Test
     void aJobThatWaitsIsTakenBackAndGoesWhereItNeedNot() {
-        Rig rig = new Rig(oneAttemptOut(1, SAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(oneAttemptOut(1, SAFE)).workers(2);
         long first = rig.job(1);
         for (int i = 0; i < 6 && rig.count("cancel 1") == 0; i++) {
             rig.tick(50 * MS);
@@ -841,7 +909,7 @@
         rig.end(1, 0, Outcome.CANCELLED, null);
         assertEquals(2, rig.count("send 1 "));
         assertNotEquals(first, rig.workerOf(1));
-        rig.module.started(rig.now, 1, 1);
+        rig.module.attemptStarted(rig.now, 1, 1);
         for (int i = 0; i < 20; i++) {
             rig.tick(50 * MS);
         }
@@ -850,7 +918,7 @@
 
     @Test
     void aMovedJobIsNotCountedAsARepeatAndAnUnsafeOneIsNotMoved() {
-        Rig rig = new Rig(oneAttemptOut(5, SAFE, UNSAFE)).workers(2);
+        DispatcherHarness rig = new DispatcherHarness(oneAttemptOut(5, SAFE, UNSAFE)).workers(2);
         for (int i = 1; i <= 8; i++) {
             rig.job(i);
             for (int k = 0; k < 6 && rig.count("cancel " + i + " ") == 0; k++) {
@@ -858,9 +926,9 @@
             }
             rig.end(i, 0, Outcome.CANCELLED, null);
             assertEquals(2, rig.count("send " + i + " "), "job " + i + ": " + rig.done);
-            rig.module.started(rig.now, i, 1);
+            rig.module.attemptStarted(rig.now, i, 1);
             rig.now += 10 * MS;
-            rig.end(i, 1, Outcome.SERVED, Rig.load(0, 0, 4));
+            rig.end(i, 1, Outcome.SERVED, DispatcherHarness.load(0, 0, 4));
         }
         rig.job(100, 1, 1, 4 * S);
         for (int i = 0; i < 10; i++) {
@@ -872,12 +940,12 @@
     /** A job of four slots where one is free would stand before all others until three more are. */
     @Test
     void aWideJobNeedsRoomForAllItsSlots() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(1);
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
         rig.job(1);
-        rig.run(1, 100 * MS, Rig.load(0, 0, 4));
+        rig.run(1, 100 * MS, DispatcherHarness.load(0, 0, 4));
         for (int i = 2; i <= 4; i++) {
             assertEquals(1, rig.job(i));
-            rig.module.started(rig.now, i, 0);
+            rig.module.attemptStarted(rig.now, i, 0);
         }
         rig.tick(50 * MS);
         assertEquals(0, rig.job(10, 0, 4, 4 * S), "held, and not queued behind three runs");
@@ -887,26 +955,26 @@
     /** Runs of a cold worker are long by its ramp; taken for its speed they shut it when it is warm. */
     @Test
     void runsOfAColdWorkerDoNotMakeItSlowForGood() {
-        Rig rig = new Rig(Rig.settings(SAFE));
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE));
         long born = rig.now;
-        Worker warm = Rig.worker(1, "z1", 0, State.READY);
-        Worker cold = Rig.worker(2, "z1", born, State.READY);
-        Worker out = Rig.worker(1, "z1", 0, State.DRAINING);
+        WorkerEndpoint warm = DispatcherHarness.worker(1, "z1", 0, EndpointState.READY);
+        WorkerEndpoint cold = DispatcherHarness.worker(2, "z1", born, EndpointState.READY);
+        WorkerEndpoint out = DispatcherHarness.worker(1, "z1", 0, EndpointState.DRAINING);
         long id = 0;
         for (int i = 0; i < 10; i++) { // 100 ms when warm
-            rig.module.list(rig.now, ListForm.CHANGES, List.of(warm));
+            rig.module.endpointsUpdated(rig.now, EndpointUpdate.DELTA, List.of(warm));
             rig.job(++id);
-            rig.run(id, 100 * MS, Rig.load(0, 0, 4));
-            rig.module.list(rig.now, ListForm.CHANGES, List.of(out, cold));
+            rig.run(id, 100 * MS, DispatcherHarness.load(0, 0, 4));
+            rig.module.endpointsUpdated(rig.now, EndpointUpdate.DELTA, List.of(out, cold));
             rig.now = Math.max(rig.now, born + 3 * S);
             if (rig.job(++id) == 2) {
                 double ramp = 0.25 + 0.75 * (rig.now - born) / (8.0 * S);
-                rig.run(id, (long) (100 * MS / ramp), Rig.load(0, 0, 4));
+                rig.run(id, (long) (100 * MS / ramp), DispatcherHarness.load(0, 0, 4));
             }
             rig.tick(10 * MS);
         }
         rig.now = born + 20 * S;
-        rig.module.list(rig.now, ListForm.CHANGES, List.of(warm));
+        rig.module.endpointsUpdated(rig.now, EndpointUpdate.DELTA, List.of(warm));
         rig.tick(MS);
         int[] got = new int[3];
         for (int i = 0; i < 8; i++) {
@@ -918,10 +986,13 @@
     /** A worker that came back gets a job soon, though others have room, and no second by that right. */
     @Test
     void aWorkerThatHasJustStartedIsTriedOnce() {
-        Rig rig = new Rig(Rig.settings(SAFE)).workers(1);
-        rig.module.list(rig.now, ListForm.CHANGES, List.of(Rig.worker(2, "z1", rig.now, State.READY)));
+        DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
+        rig.module.endpointsUpdated(
+                rig.now,
+                EndpointUpdate.DELTA,
+                List.of(DispatcherHarness.worker(2, "z1", rig.now, EndpointState.READY)));
         rig.now += 2 * S;
-        rig.module.wake(rig.now, 1);
+        rig.module.timerFired(rig.now, 1);
         assertEquals(Set.of(1L, 2L), Set.of(rig.job(1), rig.job(2)), "no run of the new one is known");
         assertEquals(1, rig.job(3), "one is out there: by its ramp it would take longer than here");
     }
@@ -930,11 +1001,13 @@
     @Test
     void someNodesMoreDoNotMakeACrowd() {
         for (int group : new int[] {5, 8, 100}) {
-            Rig rig = new Rig(Rig.settings(Reports.ANSWERS, false, group, SAFE)).workers(12);
+            DispatcherHarness rig = new DispatcherHarness(
+                            DispatcherHarness.settings(LoadReportSource.ANSWERS, false, group, SAFE))
+                    .workers(12);
             Set<Long> used = new HashSet<>();
             for (int i = 1; i <= 12; i++) {
                 used.add(rig.job(i));
-                rig.module.started(rig.now, i, 0);
+                rig.module.attemptStarted(rig.now, i, 0);
                 rig.now += MS;
             }
             assertEquals(group <= 8, used.size() == 12, "of " + group + ": " + used);
--- a/src/test/java/beechseam/EmbeddingTest.java
+++ b/src/test/java/beechseam/dispatch/EmbeddingTest.java
@@ -1,8 +1,7 @@
-package beechseam;
+package beechseam.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import beechseam.Dispatching.*;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -10,7 +9,7 @@
 /** The README's example of a host, whole. */
 class EmbeddingTest {
     /** A host keeps connections and timers behind these; here it only notes what it was asked. */
-    private static final class Host implements Actions {
+    private static final class Host implements DispatchActions {
         final List<String> asked = new ArrayList<>();
 
         @Override
@@ -24,7 +23,7 @@
         }
 
         @Override
-        public void refuse(long job, long pauseNs) {
+        public void shed(long job, long pauseNs) {
             asked.add("refuse job " + job);
         }
 
@@ -34,17 +33,17 @@
         }
 
         @Override
-        public void probe(long worker) {
+        public void healthCheck(long worker) {
             asked.add("probe");
         }
 
         @Override
-        public void wakeIn(long offsetNs, long tag) {
+        public void scheduleTimer(long offsetNs, long tag) {
             // a host sets a timer here that calls wake
         }
 
         @Override
-        public void watchList() {
+        public void watchEndpoints() {
             asked.add("watch");
         }
 
@@ -56,12 +55,13 @@
 
     @Test
     void aJobIsSentServedAndForgotten() {
-        JobClass mail = new JobClass("mail", 200_000_000L, 2_000_000_000L, 2, 1, 0, Effect.SAFE, Group.ALL, 0, null);
-        Settings settings = new Settings(
+        JobClass mail = new JobClass(
+                "mail", 200_000_000L, 2_000_000_000L, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        DispatchSettings settings = new DispatchSettings(
                 List.of(mail),
-                new Limits(3, 1_000_000_000L, true, true, false, true, 0),
-                new Rules(1_000_000_000L, 8_000_000_000L, 0.3, 8_000_000_000L, 3, 1_000_000_000L, false),
-                Reports.ANSWERS,
+                new DispatchLimits(3, 1_000_000_000L, true, true, false, true, 0),
+                new WorkerRules(1_000_000_000L, 8_000_000_000L, 0.3, 8_000_000_000L, 3, 1_000_000_000L, false),
+                LoadReportSource.ANSWERS,
                 false,
                 1,
                 0,
@@ -75,10 +75,11 @@
         Host host = new Host();
         long now = 5_000_000_000L;
         Dispatcher dispatcher = new Dispatcher(now, settings, 42, host);
-        dispatcher.list(now, ListForm.FULL, List.of(new Worker(1, 0, "east", "std", 0, State.READY)));
-        dispatcher.job(now, new Job(17, 0, 2_000_000_000L, 0, 1, 0));
-        dispatcher.started(now + 1_000_000, 17, 0);
-        dispatcher.ended(now + 90_000_000, 17, 0, Outcome.SERVED, true, null);
+        dispatcher.endpointsUpdated(
+                now, EndpointUpdate.SNAPSHOT, List.of(new WorkerEndpoint(1, 0, "east", "std", 0, EndpointState.READY)));
+        dispatcher.jobArrived(now, new Job(17, 0, 2_000_000_000L, 0, 1, 0));
+        dispatcher.attemptStarted(now + 1_000_000, 17, 0);
+        dispatcher.attemptEnded(now + 90_000_000, 17, 0, Outcome.SERVED, true, null);
         assertEquals(List.of("send job 17 to worker 1"), host.asked);
     }
 }
--- a/src/test/java/beechseam/VirtualDay.java
+++ b/src/test/java/beechseam/dispatch/FleetSimulation.java
@@ -1,6 +1,5 @@
-package beechseam;
+package beechseam.dispatch;
 
-import beechseam.Dispatching.*;
 import beechseam.core.Attempt;
 import beechseam.core.Counters;
 import beechseam.core.Egress;
@@ -26,7 +25,7 @@
  * Many real engines with their modules before stand-in workers, on one virtual clock: a day of a few minutes
  * takes a second, and the same seed gives the same day. It knows the rules, and counts what breaks them.
  */
-final class VirtualDay {
+final class FleetSimulation {
     static final long MS = 1_000_000L;
     static final long S = 1_000_000_000L;
     private static final long WAY = MS / 2;
@@ -47,8 +46,8 @@
         boolean fell;
         long born;
         long toldDraining = Long.MAX_VALUE;
-        State state = State.READY;
-        Load shown;
+        EndpointState state = EndpointState.READY;
+        LoadReport shown;
 
         Box(long id, String zone, int cell, int slots, double speed) {
             this.id = id;
@@ -56,13 +55,13 @@
             this.cell = cell;
             this.slots = slots;
             this.speed = speed;
-            shown = new Load(0, 0, slots, Double.NaN, Double.NaN);
+            shown = new LoadReport(0, 0, slots, Double.NaN, Double.NaN);
         }
 
         double ramp() {
-            double start = settings.rules().startCapacity();
+            double start = settings.rules().initialCapacity();
             double share =
-                    born == 0 ? 1 : (now - born) / (double) settings.rules().coldNs();
+                    born == 0 ? 1 : (now - born) / (double) settings.rules().slowStartNs();
             return Math.max(start, Math.min(1, start + (1 - start) * share));
         }
 
@@ -89,10 +88,10 @@
 
         /** What a cold worker gets in the time of the rule; past it, with the slack for chance, it falls. */
         private void bear(Job job) {
-            if (born == 0 || now - born > settings.rules().coldNs()) {
+            if (born == 0 || now - born > settings.rules().slowStartNs()) {
                 return;
             }
-            long span = settings.rules().overloadForNs();
+            long span = settings.rules().overloadWindowNs();
             taken.add(new double[] {now, job.work * job.need, job.toldBorn == born ? 1 : 0});
             taken.removeIf(t -> t[0] < now - span);
             double mean = meanWork();
@@ -118,7 +117,7 @@
                     i.remove();
                     running.add(job);
                     double time = job.work / (speed * ramp()) * slow;
-                    after(WAY, () -> job.tell(e -> e.started(job.attempt)));
+                    after(WAY, () -> job.tell(e -> e.attemptStarted(job.attempt)));
                     after((long) time, () -> {
                         if (running.remove(job)) {
                             end(job, Outcome.SERVED);
@@ -132,9 +131,9 @@
         }
 
         private void end(Job job, Outcome outcome) {
-            Load load = shown;
+            LoadReport load = shown;
             if (!silent && !fell) {
-                after(WAY, () -> job.tell(e -> e.ended(job.attempt, outcome, new byte[0], load)));
+                after(WAY, () -> job.tell(e -> e.attemptEnded(job.attempt, outcome, new byte[0], load)));
             }
         }
 
@@ -179,22 +178,22 @@
         }
 
         void start() {
-            Settings s = settings;
-            Settings own = new Settings(
+            DispatchSettings s = settings;
+            DispatchSettings own = new DispatchSettings(
                     s.classes(),
                     s.limits(),
                     s.rules(),
-                    s.reports(),
-                    s.askForList(),
-                    s.groupSize(),
+                    s.loadReportSource(),
+                    s.pollsEndpoints(),
+                    s.dispatcherCount(),
                     number,
                     zone(),
-                    s.tellsStart(),
-                    s.progressNs(),
-                    s.crossZonePrice(),
-                    s.handshakePrice(),
-                    s.probePrice(),
-                    s.worthByWork(),
+                    s.reportsStart(),
+                    s.progressIntervalNs(),
+                    s.crossZoneCost(),
+                    s.handshakeCost(),
+                    s.healthCheckCost(),
+                    s.weightByWork(),
                     s.liveWeights());
             engine = new Engine(own, random.nextLong(), () -> now, this, this, new Counters());
         }
@@ -240,19 +239,21 @@
             job.work = asked.work;
             job.need = asked.need;
             job.toldBorn = toldOf.getOrDefault(box, 0L);
-            attempt.carrier = job;
+            attempt.exchange = job;
             long way = WAY + (box.zone.equals(zone()) ? 0 : MS);
             after(way, () -> box.take(job));
         }
 
         @Override
         public void cancel(Attempt attempt) {
-            after(WAY, () -> boxes.get(attempt.target).cancel((Job) attempt.carrier));
+            after(WAY, () -> boxes.get(attempt.target).cancel((Job) attempt.exchange));
         }
 
         @Override
-        public void probe(long target) {
-            after(2 * WAY, () -> engine.probed(target, !boxes.get(target).silent, boxes.get(target).shown));
+        public void healthCheck(long target) {
+            after(
+                    2 * WAY,
+                    () -> engine.healthCheckCompleted(target, !boxes.get(target).silent, boxes.get(target).shown));
         }
     }
 
@@ -278,10 +279,13 @@
         /** Whatever is sent here may have run: a further one goes as the class allows. */
         private void sentTo(Box box, String id) {
             JobClass c = settings.classes().get(jobClass);
-            if (first != null && c.effect() != Effect.SAFE) {
-                boolean same = c.group() == Group.ALL
-                        || first.zone.equals(box.zone) && (c.group() == Group.ZONE || first.cell == box.cell);
-                if (c.effect() == Effect.UNSAFE || !same || now - firstSentAt > c.windowNs()) {
+            if (first != null && c.idempotency() != Idempotency.IDEMPOTENT) {
+                boolean same = c.deduplicationScope() == DeduplicationScope.ALL
+                        || first.zone.equals(box.zone)
+                                && (c.deduplicationScope() == DeduplicationScope.ZONE || first.cell == box.cell);
+                if (c.idempotency() == Idempotency.NON_IDEMPOTENT
+                        || !same
+                        || now - firstSentAt > c.idempotencyWindowNs()) {
                     broken.add(id + " of " + c.name() + " sent to " + first.id + ", then to " + box.id);
                 }
             }
@@ -303,7 +307,7 @@
         public void served(Request r, byte[] result) {
             JobClass c = settings.classes().get(jobClass);
             once(r);
-            count(now - firstAt <= c.aimNs() + c.stretch() * work ? inTime : late, jobClass);
+            count(now - firstAt <= c.latencyObjectiveNs() + c.stretch() * work ? inTime : late, jobClass);
         }
 
         @Override
@@ -324,7 +328,7 @@
         }
     }
 
-    final Settings settings;
+    final DispatchSettings settings;
     final Map<Long, Box> boxes = new LinkedHashMap<>();
     final List<Node> nodes = new ArrayList<>();
     final List<String> broken = new ArrayList<>();
@@ -354,7 +358,7 @@
     private final TimerQueue timers = new TimerQueue();
     private long jobs;
 
-    VirtualDay(Settings settings, long seed) {
+    FleetSimulation(DispatchSettings settings, long seed) {
         this.settings = settings;
         random = new Random(seed);
     }
@@ -384,41 +388,41 @@
     void begin(int count) {
         for (int i = 0; i < count; i++) {
             nodes.add(new Node(i));
-            nodes.get(i).engine.routes(ListForm.FULL, list());
+            nodes.get(i).engine.updateEndpoints(EndpointUpdate.SNAPSHOT, list());
         }
         report();
     }
 
-    List<Worker> list() {
-        return boxes.values().stream().map(VirtualDay::row).toList();
+    List<WorkerEndpoint> list() {
+        return boxes.values().stream().map(FleetSimulation::row).toList();
     }
 
-    static Worker row(Box b) {
-        return new Worker(b.id, b.cell, b.zone, "k" + b.slots, b.born, b.state, Double.NaN);
+    static WorkerEndpoint row(Box b) {
+        return new WorkerEndpoint(b.id, b.cell, b.zone, "k" + b.slots, b.born, b.state, Double.NaN);
     }
 
     /** Each node is told of a change, each at a time of its own. */
     void tell(Box b, long withinNs) {
-        Worker row = row(b);
+        WorkerEndpoint row = row(b);
         for (Node n : nodes) {
             after((long) (random.nextDouble() * withinNs), () -> {
-                n.engine.routes(ListForm.CHANGES, List.of(row));
-                n.toldOf.put(b, row.bornNs());
+                n.engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row));
+                n.toldOf.put(b, row.startedNs());
             });
         }
-        b.toldDraining = b.state == State.READY ? Long.MAX_VALUE : now + withinNs;
+        b.toldDraining = b.state == EndpointState.READY ? Long.MAX_VALUE : now + withinNs;
     }
 
     private void report() {
         for (Box b : boxes.values()) {
             double free = Math.max(0, b.slots - b.used());
-            Load l = reporting ? new Load(b.held(), b.queue.size(), free, Double.NaN, Double.NaN) : null;
+            LoadReport l = reporting ? new LoadReport(b.held(), b.queue.size(), free, Double.NaN, Double.NaN) : null;
             after(reportMs * MS / 2, () -> b.shown = l);
         }
         if (settings.liveWeights()) { // a list that tells each one's load, to all alike and late
-            List<Worker> rows = boxes.values().stream()
-                    .filter(b -> b.state == State.READY)
-                    .map(b -> new Worker(
+            List<WorkerEndpoint> rows = boxes.values().stream()
+                    .filter(b -> b.state == EndpointState.READY)
+                    .map(b -> new WorkerEndpoint(
                             b.id,
                             b.cell,
                             b.zone,
@@ -429,10 +433,10 @@
                     .toList();
             after(
                     reportMs * MS,
-                    () -> nodes.forEach(n -> n.engine.routes(
-                            ListForm.CHANGES,
+                    () -> nodes.forEach(n -> n.engine.updateEndpoints(
+                            EndpointUpdate.DELTA,
                             rows.stream()
-                                    .filter(r -> boxes.get(r.id()).state == State.READY)
+                                    .filter(r -> boxes.get(r.id()).state == EndpointState.READY)
                                     .toList())));
         }
         after(reportMs * MS, this::report);
@@ -480,8 +484,8 @@
         Asked asked = new Asked(jobClass, work, need, firstAt, tries);
         owed++;
         long budget = settings.classes().get(jobClass).deadlineNs();
-        Dispatching.Job job = new Dispatching.Job(0, jobClass, budget, 0, need, 0, tries == 1);
-        n.engine.take("j" + ++jobs, job, asked, asked);
+        beechseam.dispatch.Job job = new beechseam.dispatch.Job(0, jobClass, budget, 0, need, 0, tries == 1);
+        n.engine.submit("j" + ++jobs, job, asked, asked);
     }
 
     void run(long span) {
--- a/src/test/java/beechseam/HardDaysTest.java
+++ b/src/test/java/beechseam/dispatch/FleetStressTest.java
@@ -1,11 +1,10 @@
-package beechseam;
+package beechseam.dispatch;
 
-import static beechseam.VirtualDay.MS;
-import static beechseam.VirtualDay.S;
+import static beechseam.dispatch.FleetSimulation.MS;
+import static beechseam.dispatch.FleetSimulation.S;
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.*;
-import beechseam.VirtualDay.Box;
+import beechseam.dispatch.FleetSimulation.Box;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,20 +16,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Hard days for many nodes together: real engines and modules in virtual time, the same at each run. */
-class HardDaysTest {
-    private static final Limits ONE_OUT = new Limits(3, 2 * S, true, true, false, false, 10 * S);
-    private static final Rules RULES = new Rules(250 * MS, 10 * S, 0.12, 23 * S, 3, S, false);
+class FleetStressTest {
+    private static final DispatchLimits ONE_OUT = new DispatchLimits(3, 2 * S, true, true, false, false, 10 * S);
+    private static final WorkerRules RULES = new WorkerRules(250 * MS, 10 * S, 0.12, 23 * S, 3, S, false);
 
     /** Long runs on 15 workers of five halls, five nodes; jobs of 1 to 4 slots, queues in order. */
-    private static VirtualDay calendar(long seed, boolean starts) {
+    private static FleetSimulation calendar(long seed, boolean starts) {
         List<JobClass> classes = List.of(
-                new JobClass("free", 250 * MS, 6 * S, 1.75, 3, 0, Effect.SAFE, Group.ALL, 0, null),
-                new JobClass("book", 300 * MS, 12 * S, 2.5, 8, 0, Effect.KEYED, Group.ZONE, 20 * S, null),
-                new JobClass("remind", S, 25 * S, 2.5, 2, 0, Effect.KEYED, Group.CELL, 40 * S, null),
-                new JobClass("series", 1500 * MS, 25 * S, 1.75, 8, 0, Effect.KEYED, Group.CELL, 40 * S, null));
-        Settings s =
-                new Settings(classes, ONE_OUT, RULES, Reports.ANSWERS, false, 5, 0, "a", starts, 0, 0.02, 0, 0, false);
-        VirtualDay day = new VirtualDay(s, seed);
+                new JobClass(
+                        "free", 250 * MS, 6 * S, 1.75, 3, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null),
+                new JobClass(
+                        "book", 300 * MS, 12 * S, 2.5, 8, 0, Idempotency.KEYED, DeduplicationScope.ZONE, 20 * S, null),
+                new JobClass("remind", S, 25 * S, 2.5, 2, 0, Idempotency.KEYED, DeduplicationScope.CELL, 40 * S, null),
+                new JobClass(
+                        "series",
+                        1500 * MS,
+                        25 * S,
+                        1.75,
+                        8,
+                        0,
+                        Idempotency.KEYED,
+                        DeduplicationScope.CELL,
+                        40 * S,
+                        null));
+        DispatchSettings s = new DispatchSettings(
+                classes, ONE_OUT, RULES, LoadReportSource.ANSWERS, false, 5, 0, "a", starts, 0, 0.02, 0, 0, false);
+        FleetSimulation day = new FleetSimulation(s, seed);
         day.zones = List.of("a", "b", "c", "d", "e");
         day.shares = new double[] {0.5, 0.22, 0.15, 0.13};
         day.meanWorks = new double[] {0.48 * S, S, 1.9 * S, 1.9 * S};
@@ -42,7 +53,7 @@
         return day;
     }
 
-    private static void end(VirtualDay day) {
+    private static void end(FleetSimulation day) {
         day.run(40 * S);
         assertEquals(List.of(), day.broken);
         assertEquals(0, day.owed, "each has its answer");
@@ -50,7 +61,7 @@
 
     /** Ten quiet seconds, a trouble at some workers, the rest of the day; gives what was sent meanwhile. */
     private static Map<Long, Integer> troubled(
-            VirtualDay day,
+            FleetSimulation day,
             double perSecond,
             long forNs,
             Predicate<Box> who,
@@ -72,7 +83,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void aWorkerFastInFailingDoesNotLookIdle(long seed) {
-        VirtualDay day = calendar(seed, true);
+        FleetSimulation day = calendar(seed, true);
         Map<Long, Integer> sent =
                 troubled(day, 30, 15 * S, b -> b.id == 100 || b.id == 106, b -> b.fails = 1, b -> b.fails = 0);
         int all = sent.values().stream().mapToInt(Integer::intValue).sum();
@@ -84,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void aQuarterNineTimesSlower(long seed) {
-        VirtualDay day = calendar(seed, true);
+        FleetSimulation day = calendar(seed, true);
         troubled(day, 26, 15 * S, b -> b.id < 104, b -> b.slow = 9, b -> b.slow = 1);
         assertTrue(day.share(-1) > 0.955, day.share(-1) + " " + day);
     }
@@ -92,14 +103,14 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void aHallIsCutOffWithKeyedJobsInIt(long seed) {
-        VirtualDay day = calendar(seed, true);
+        FleetSimulation day = calendar(seed, true);
         troubled(day, 40, 17 * S, b -> b.zone.equals("b"), b -> b.silent = true, b -> b.silent = false);
         assertTrue(day.share(-1) > 0.945, day.share(-1) + " " + day);
     }
 
     @Test
     void aWideJobAtTheHeadOfALineHoldsUpFew() {
-        VirtualDay day = calendar(3, true);
+        FleetSimulation day = calendar(3, true);
         day.slotShares = new double[][] {{1}, {1}, {1}, {0, 0, 1}};
         day.begin(5);
         day.load(24, 40 * S);
@@ -111,7 +122,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
     void aColdWorkerIsNotPushedOverByAllTogetherAndIsUsed(int seed) {
-        VirtualDay day = calendar(seed, true);
+        FleetSimulation day = calendar(seed, true);
         day.begin(5);
         day.load(36, 40 * S);
         day.run(10 * S);
@@ -132,7 +143,7 @@
 
     @Test
     void overloadRefusesTheLeastInWorthSaysWhenAndStarvesNobody() {
-        VirtualDay day = calendar(4, true);
+        FleetSimulation day = calendar(4, true);
         day.clientTries = 4;
         day.begin(5);
         day.load(92, 40 * S);
@@ -148,14 +159,14 @@
 
     @Test
     void listsThatComeFiveSecondsLateAndKnowProcessesOnly() {
-        VirtualDay day = calendar(5, true);
+        FleetSimulation day = calendar(5, true);
         day.begin(5);
         day.load(24, 40 * S);
         for (int i = 0; i < 4; i++) { // goes silent first, and is listed as gone five seconds later
             Box b = day.boxes.get(100L + 3 * i);
             day.after((5 + 6 * i) * S, () -> b.silent = true);
             day.after((10 + 6 * i) * S, () -> {
-                b.state = State.DRAINING;
+                b.state = EndpointState.DRAINING;
                 day.tell(b, 300 * MS);
             });
         }
@@ -166,7 +177,7 @@
 
     @Test
     void noReportsNoStartsNoProbesNoCopies() {
-        VirtualDay day = calendar(6, false);
+        FleetSimulation day = calendar(6, false);
         day.reporting = false;
         day.begin(5);
         day.load(26, 40 * S);
@@ -176,18 +187,33 @@
     }
 
     /** Short runs on 64 workers of three zones, a hundred nodes: each sees one in a hundred of all. */
-    private static VirtualDay fleet(long seed) {
+    private static FleetSimulation fleet(long seed) {
         return fleet(seed, 100, 64);
     }
 
-    private static VirtualDay fleet(long seed, int nodes, int workers) {
-        JobClass safe = new JobClass("safe", 80 * MS, 5 * S, 2, 3, 0, Effect.SAFE, Group.ALL, 0, null);
-        JobClass keyed = new JobClass("keyed", 200 * MS, 6 * S, 2.5, 8, 0, Effect.KEYED, Group.ZONE, 10 * S, null);
-        Limits limits = new Limits(6, 2 * S, true, true, false, true, 60 * S);
-        Rules rules = new Rules(300 * MS, 10 * S, 0.34, 9 * S, 3, 2 * S, false);
-        Settings s = new Settings(
-                List.of(safe, keyed), limits, rules, Reports.ANSWERS, false, nodes, 0, "a", true, S, 0.03, 0, 0, true);
-        VirtualDay day = new VirtualDay(s, seed);
+    private static FleetSimulation fleet(long seed, int nodes, int workers) {
+        JobClass safe =
+                new JobClass("safe", 80 * MS, 5 * S, 2, 3, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
+        JobClass keyed = new JobClass(
+                "keyed", 200 * MS, 6 * S, 2.5, 8, 0, Idempotency.KEYED, DeduplicationScope.ZONE, 10 * S, null);
+        DispatchLimits limits = new DispatchLimits(6, 2 * S, true, true, false, true, 60 * S);
+        WorkerRules rules = new WorkerRules(300 * MS, 10 * S, 0.34, 9 * S, 3, 2 * S, false);
+        DispatchSettings s = new DispatchSettings(
+                List.of(safe, keyed),
+                limits,
+                rules,
+                LoadReportSource.ANSWERS,
+                false,
+                nodes,
+                0,
+                "a",
+                true,
+                S,
+                0.03,
+                0,
+                0,
+                true);
+        FleetSimulation day = new FleetSimulation(s, seed);
         day.zones = List.of("a", "b", "c");
         day.shares = new double[] {0.8, 0.2};
         day.meanWorks = new double[] {120 * MS, 120 * MS};
@@ -212,7 +238,7 @@
         double most = 0;
         int all = seeds * Integer.getInteger("cold.seeds", 1);
         for (long seed = 1; seed <= all; seed++) {
-            VirtualDay day = fleet(seed, nodes, workers);
+            FleetSimulation day = fleet(seed, nodes, workers);
             day.nodeShares = new double[nodes];
             for (int i = 0; i < nodes; i++) {
                 day.nodeShares[i] = 1 + 7 * Math.pow(day.random.nextDouble(), 3); // some get far more
@@ -226,7 +252,7 @@
                     old.born = day.now;
                     day.tell(old, 4 * S);
                 } else if (i % 3 == 1) {
-                    old.state = State.DRAINING;
+                    old.state = EndpointState.DRAINING;
                     day.tell(old, S);
                     Box young = day.box(500 + i, old.zone, old.cell, old.slots, old.speed);
                     young.born = day.now;
@@ -234,10 +260,10 @@
                 }
             }
             for (int i = 0; i < nodes; i += 5) {
-                VirtualDay.Node n = day.nodes.get(i);
+                FleetSimulation.Node n = day.nodes.get(i);
                 day.after(500 * MS + i * 2500 * MS / nodes, () -> {
                     n.restart();
-                    n.engine.routes(ListForm.FULL, day.list());
+                    n.engine.updateEndpoints(EndpointUpdate.SNAPSHOT, day.list());
                     day.boxes.values().forEach(b -> n.toldOf.put(b, b.born));
                 });
             }
@@ -253,28 +279,28 @@
 
     @Test
     void mostOfAHundredRestartInOneInstantWithAnOldListOrNone() {
-        VirtualDay day = fleet(1);
+        FleetSimulation day = fleet(1);
         day.begin(100);
-        List<Worker> old = day.list();
+        List<WorkerEndpoint> old = day.list();
         day.load(1100, 14 * S);
         day.run(5 * S);
         Box gone = day.boxes.get(100L);
-        gone.state = State.DRAINING;
+        gone.state = EndpointState.DRAINING;
         day.tell(gone, 300 * MS);
         day.run(2 * S);
-        int before = VirtualDay.sum(day.refused);
+        int before = FleetSimulation.sum(day.refused);
         for (int i = 0; i < 70; i++) {
-            VirtualDay.Node n = day.nodes.get(i);
+            FleetSimulation.Node n = day.nodes.get(i);
             n.restart();
             if (i % 2 == 0) { // the list as it was, and the news soon after
-                n.engine.routes(ListForm.CACHED, old);
+                n.engine.updateEndpoints(EndpointUpdate.CACHED, old);
             }
-            day.after(200 * MS, () -> n.engine.routes(ListForm.FULL, day.list()));
+            day.after(200 * MS, () -> n.engine.updateEndpoints(EndpointUpdate.SNAPSHOT, day.list()));
         }
         gone.toldDraining = day.now + 200 * MS;
         day.run(15 * S);
         assertEquals(List.of(), day.broken);
-        int refused = VirtualDay.sum(day.refused) - before;
+        int refused = FleetSimulation.sum(day.refused) - before;
         assertTrue(refused < 1100, refused + " refused in the seven seconds after: " + day);
         assertTrue(day.share(-1) > 0.7, day.share(-1) + " " + day);
     }
@@ -282,7 +308,7 @@
     /** All the others are full: whatever a cold one is let have, all hundred would like to send it. */
     @Test
     void aHundredModulesBeforeOneColdWorkerStayUnderWhatItBears() {
-        VirtualDay day = fleet(5);
+        FleetSimulation day = fleet(5);
         day.begin(100);
         day.load(2100, 10 * S);
         day.run(3 * S);
@@ -297,7 +323,7 @@
 
     @Test
     void aZoneFallsSilentAndComesBackCold() {
-        VirtualDay day = fleet(2);
+        FleetSimulation day = fleet(2);
         day.begin(100);
         day.load(900, 16 * S);
         day.run(4 * S);
@@ -319,7 +345,7 @@
 
     @Test
     void sixInTenAreReplacedWhileClientsReturnAtOnce() {
-        VirtualDay day = fleet(3);
+        FleetSimulation day = fleet(3);
         day.clientTries = 3;
         day.begin(100);
         day.load(900, 14 * S);
@@ -328,7 +354,7 @@
             int n = i;
             day.after(i * 7 * S / 38, () -> {
                 Box old = day.boxes.get(100L + n);
-                old.state = State.DRAINING;
+                old.state = EndpointState.DRAINING;
                 day.tell(old, 500 * MS);
                 Box b = day.box(300 + n, old.zone, old.cell, old.slots, old.speed);
                 b.born = day.now;
@@ -341,10 +367,10 @@
         assertTrue(day.share(-1) > 0.6, day.share(-1) + " " + day);
     }
 
-    /** Reports half a second old: all who follow the same news would swing between none and twelve. */
+    /** LoadReportSource half a second old: all who follow the same news would swing between none and twelve. */
     @Test
     void oldReportsDoNotMakeAHundredSwing() {
-        VirtualDay day = fleet(4);
+        FleetSimulation day = fleet(4);
         day.begin(100);
         day.load(1000, 12 * S);
         day.run(4 * S);
--- a/src/test/java/beechseam/gearman/GearmanFaultsTest.java
+++ b/src/test/java/beechseam/gearman/GearmanFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.gearman.GearmanRig.StandIn;
+import beechseam.gearman.GearmanHarness.StandIn;
 import beechseam.gearman.protocol.Arguments;
 import beechseam.gearman.protocol.Packet;
 import beechseam.gearman.protocol.PacketDecoder;
@@ -20,10 +20,10 @@
 
 /** The hard cases of the Gearman front: what goes wrong at once, in crowds, or at the wrong moment. */
 class GearmanFaultsTest {
-    private GearmanRig rig;
+    private GearmanHarness rig;
 
     private void serve(String more) {
-        rig = new GearmanRig("{\"listen\":\"127.0.0.1:0\",\"name\":\"t\"," + more + "\"functions\":["
+        rig = new GearmanHarness("{\"listen\":\"127.0.0.1:0\",\"name\":\"t\"," + more + "\"functions\":["
                 + "{\"name\":\"*\",\"effect\":\"unsafe\"},{\"name\":\"safe\",\"effect\":\"safe\"}]}");
     }
 
@@ -32,13 +32,13 @@
         private final PacketDecoder decoder = new PacketDecoder(this, Packet.RES, 1 << 28, 4096);
         Arguments last;
 
-        Sink(GearmanRig rig) throws IOException {
+        Sink(GearmanHarness rig) throws IOException {
             super(rig.net.loop, null, 8192);
             connect(rig.server.address());
         }
 
         @Override
-        protected long mostWaiting() {
+        protected long maxUnwrittenBytes() {
             return 1L << 30;
         }
 
@@ -114,7 +114,7 @@
             others.get(i).expect("WORK_COMPLETE " + handle + " r").nothing();
         }
         assertEquals(1, rig.server.jobs.ended(Jobs.End.SERVED));
-        assertEquals(1, rig.server.counters().sent);
+        assertEquals(1, rig.server.counters().attemptsSent);
     }
 
     /** In one turn of the loop, in either order: the job ends once. */
--- a/src/test/java/beechseam/gearman/GearmanRig.java
+++ b/src/test/java/beechseam/gearman/GearmanHarness.java
@@ -4,9 +4,9 @@
 
 import beechseam.Loopback;
 import beechseam.config.ConfigException;
+import beechseam.config.ConfigNode;
 import beechseam.config.GearmanConfig;
 import beechseam.config.Json;
-import beechseam.config.Tree;
 import beechseam.gearman.protocol.Packet;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,15 +18,15 @@
 import java.util.Map;
 
 /** A job server by an operator's file, with stand-in clients and workers on loopback. */
-final class GearmanRig implements AutoCloseable {
+final class GearmanHarness implements AutoCloseable {
     final Loopback net = new Loopback();
     final GearmanServer server;
     final List<StandIn> all = new ArrayList<>();
 
-    GearmanRig(String file) {
+    GearmanHarness(String file) {
         try {
             byte[] text = file.getBytes(StandardCharsets.UTF_8);
-            Tree tree = new Tree("", (Map<?, ?>) Json.parse(text, 0, text.length));
+            ConfigNode tree = new ConfigNode("", (Map<?, ?>) Json.parse(text, 0, text.length));
             server = new GearmanServer(net.loop, GearmanConfig.of(tree), 7);
         } catch (IOException | ConfigException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/beechseam/gearman/GearmanTest.java
+++ b/src/test/java/beechseam/gearman/GearmanTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import beechseam.Loopback;
-import beechseam.gearman.GearmanRig.StandIn;
+import beechseam.gearman.GearmanHarness.StandIn;
 import beechseam.gearman.protocol.Packet;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
          "workers":[{"client_id":"a1-*","zone":"a","cell":1},{"client_id":"b2-*","zone":"b","cell":2}]}
         """;
 
-    private final GearmanRig rig = new GearmanRig(FILE);
+    private final GearmanHarness rig = new GearmanHarness(FILE);
     private final Loopback net = rig.net;
     private final GearmanServer server = rig.server;
 
@@ -141,7 +141,7 @@
                 .nothing();
         one.expect("WORK_COMPLETE " + handle + " r").nothing();
         two.expect("WORK_COMPLETE " + handle + " r").nothing();
-        assertEquals(1, server.counters().sent);
+        assertEquals(1, server.counters().attemptsSent);
         one.say(Packet.SUBMIT_JOB, "once", "key", "x");
         assertNotEquals(handle, one.next("JOB_CREATED"), "once it is over the key is free");
     }
--- a/src/test/java/beechseam/gearman/queue/LinesTest.java
+++ b/src/test/java/beechseam/gearman/queue/FairQueueTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Waiting jobs: turns, priorities, ageing, the clock and the bounds, against plain models. */
-class LinesTest {
+class FairQueueTest {
     private static final class Job implements Waiting {
         final int client;
         final int level;
--- a/src/test/java/beechseam/importer/ImporterTest.java
+++ b/src/test/java/beechseam/importer/ImporterTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.State;
 import beechseam.config.Json;
 import beechseam.config.MemberList;
+import beechseam.dispatch.EndpointState;
 import java.io.StringWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -90,7 +90,7 @@
         assertTrue(list.full());
         assertEquals(
                 4, list.servers().stream().map(MemberList.Server::id).distinct().count());
-        assertEquals(State.DRAINING, list.servers().get(1).state());
+        assertEquals(EndpointState.DRAINING, list.servers().get(1).state());
         assertEquals(8081, list.servers().get(0).address().getPort());
     }
 
--- a/src/test/java/beechseam/net/ConnectionTest.java
+++ b/src/test/java/beechseam/net/ConnectionTest.java
@@ -20,8 +20,8 @@
     private abstract static class Counted extends Connection {
         private final int[] ends;
 
-        Counted(EventLoop loop, int mostRead, int[] ends) throws IOException {
-            super(loop, null, mostRead);
+        Counted(EventLoop loop, int maxReadBytes, int[] ends) throws IOException {
+            super(loop, null, maxReadBytes);
             this.ends = ends;
         }
 
@@ -75,7 +75,7 @@
                         sent.append(near.closed() || closing ? "" : part);
                     }
                     case 3 -> far.forEach(each -> each.say("y".repeat(random.nextInt(9000))));
-                    case 4 -> near.again();
+                    case 4 -> near.processBufferedInput();
                     case 5 -> net.settle(1);
                     case 6 -> {
                         if (random.nextInt(6) == 0 && !closing) {
--- a/src/test/java/beechseam/ops/HandoverLinkTest.java
+++ b/src/test/java/beechseam/ops/HandoverLinkTest.java
@@ -22,32 +22,32 @@
         private final List<Integer> recalled = new ArrayList<>();
 
         @Override
-        public Iterable<String> state() {
+        public Iterable<String> currentState() {
             return List.of();
         }
 
         @Override
-        public Iterable<byte[]> learned() {
+        public Iterable<byte[]> learnedState() {
             List<byte[]> pieces = new ArrayList<>();
             for (int i = 0; i < PIECES; i++) {
-                pieces.add(new byte[HandoverLink.MOST_PIECE]);
+                pieces.add(new byte[HandoverLink.MAX_PIECE_BYTES]);
             }
             return pieces;
         }
 
         @Override
-        public void recall(ByteBuffer piece) {
+        public void learnedStateReceived(ByteBuffer piece) {
             recalled.add(piece.remaining());
         }
 
         @Override
-        public void call(String line) {}
+        public void callReceived(String line) {}
 
         @Override
-        public void event(ByteBuffer body) {}
+        public void callbackReceived(ByteBuffer body) {}
 
         @Override
-        public void linked() {}
+        public void peersChanged() {}
     }
 
     @AfterEach
@@ -61,10 +61,10 @@
         HandoverLink elder = new HandoverLink(net.loop, directory, "n", new End());
         End younger = new End();
         HandoverLink link = new HandoverLink(net.loop, directory, "n", younger);
-        net.until("the welcome", () -> !link.unwelcomed());
+        net.until("the welcome", () -> !link.awaitsPeerState());
         assertEquals(PIECES, younger.recalled.size());
-        assertTrue(younger.recalled.stream().allMatch(each -> each == HandoverLink.MOST_PIECE));
-        assertEquals(1, link.others());
+        assertTrue(younger.recalled.stream().allMatch(each -> each == HandoverLink.MAX_PIECE_BYTES));
+        assertEquals(1, link.peerCount());
         elder.close();
         link.close();
     }
--- a/src/test/java/beechseam/platform/DiscoveryListTest.java
+++ b/src/test/java/beechseam/platform/DiscoveryListTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Lists of discovery of every size and form, and lists that cannot be used. */
-class DiscoveryListTest extends NodeRig {
+class DiscoveryListTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
     private static final long HELD = 0x0badcafeL;
 
@@ -113,8 +113,8 @@
     void aListOfSoManyServersIsTakenAndServedBy(int servers, Form form) {
         String body = list(servers, form);
         discovery.get(0).say(form == Form.CHUNKED ? chunked(body, 200) : answer("200 OK", body));
-        net.until("the list", () -> node.held());
-        assertEquals(servers, node.engine.routes().size());
+        net.until("the list", () -> node.isSynced());
+        assertEquals(servers, node.engine.routeTable().size());
         net.until("ready", node::ready); // at once, or after a second where reading the list took long
         Peer client = ask("c1", "safe", "30000m");
         attempt(0, "c1").say(answer("202 Accepted", ""));
@@ -131,12 +131,12 @@
         String all = form == Form.CHUNKED ? chunked(body, 200) : answer("200 OK", body);
         int piece = all.length() / 100 + 1;
         for (int at = 0; at < all.length(); at += piece) {
-            assertFalse(node.held());
+            assertFalse(node.isSynced());
             discovery.get(0).say(all.substring(at, Math.min(all.length(), at + piece)));
             net.settle(25);
         }
-        net.until("the list", () -> node.held());
-        assertEquals(1024, node.engine.routes().size());
+        net.until("the list", () -> node.isSynced());
+        assertEquals(1024, node.engine.routeTable().size());
         assertFalse(discovery.get(0).gone);
     }
 
@@ -196,8 +196,8 @@
             int next = call + 1;
             net.until("another call", () -> discovery.size() > next);
         }
-        assertFalse(node.held());
-        assertTrue(node.engine.routes().serving(HELD), "the list as held stays");
+        assertFalse(node.isSynced());
+        assertTrue(node.engine.routeTable().acceptsNewWork(HELD), "the list as held stays");
         assertEquals(1, warnings(), "once a cause");
         assertTrue(warning().contains(said), warning());
     }
@@ -210,7 +210,7 @@
         net.settle(20);
         discovery.get(0).close();
         called(1);
-        assertTrue(node.engine.routes().serving(HELD));
+        assertTrue(node.engine.routeTable().acceptsNewWork(HELD));
         assertTrue(discovery.get(1).heard().startsWith("GET /catalog/members HTTP/1.1"), "the whole list");
     }
 
@@ -219,9 +219,9 @@
     void anEntryWithoutAnAddressLeavesTheServerAsHeld() {
         String held = row("SERVING").replaceAll("\"addr\":\"[^\"]*\",", "");
         discovery.get(0).say(answer("200 OK", list(9, entry("s-00000001") + "," + held)));
-        net.until("the list", () -> node.held());
-        assertTrue(node.engine.routes().serving(1));
-        assertTrue(node.engine.routes().serving(HELD));
+        net.until("the list", () -> node.isSynced());
+        assertTrue(node.engine.routeTable().acceptsNewWork(1));
+        assertTrue(node.engine.routeTable().acceptsNewWork(HELD));
         assertEquals(1, warnings());
         assertTrue(warning().contains("1 of 2 entries cannot be used, first servers[1].addr"), warning());
     }
--- a/src/test/java/beechseam/platform/HandoverPiecesTest.java
+++ b/src/test/java/beechseam/platform/HandoverPiecesTest.java
@@ -26,7 +26,7 @@
     private static Map<String, Object> joined(List<byte[]> pieces) throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         for (byte[] each : pieces) {
-            assertTrue(each.length <= HandoverLink.MOST_PIECE, each.length + " bytes in one frame");
+            assertTrue(each.length <= HandoverLink.MAX_PIECE_BYTES, each.length + " bytes in one frame");
             Map<?, ?> piece = (Map<?, ?>) Json.parse(each, 0, each.length);
             piece.forEach((name, list) -> all.put((String) name, list));
         }
@@ -40,7 +40,7 @@
             learned.put("worker " + i, figures(6));
             learned.put("cold " + i, figures(i % 10 == 0 ? LONG_HISTORY : 0));
         }
-        Map<String, Object> all = joined(Succession.pieces(learned));
+        Map<String, Object> all = joined(ProcessHandover.pieces(learned));
         assertEquals(learned.keySet(), all.keySet());
         assertEquals(LONG_HISTORY, ((List<?>) all.get("cold 10")).size());
     }
@@ -52,7 +52,7 @@
         learned.put("before", figures(3));
         learned.put("much", figures(10_000));
         learned.put("after", figures(3));
-        Map<String, Object> all = joined(Succession.pieces(learned));
+        Map<String, Object> all = joined(ProcessHandover.pieces(learned));
         assertEquals(List.of("before", "after"), new ArrayList<>(all.keySet()));
     }
 }
--- a/src/test/java/beechseam/platform/ListWatchTest.java
+++ b/src/test/java/beechseam/platform/ListWatchTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.ListForm;
 import beechseam.config.MemberList;
 import beechseam.core.Timer;
+import beechseam.dispatch.EndpointUpdate;
 import beechseam.net.TimerQueue;
 import beechseam.platform.ListWatch.Call;
 import java.util.ArrayList;
@@ -49,7 +49,7 @@
         long version = 1;
         long taken = -1;
         long takenAt;
-        ListForm form;
+        EndpointUpdate form;
         int calls;
         int out;
         int mostOut;
@@ -188,7 +188,7 @@
         }
 
         @Override
-        public void take(MemberList list, ListForm how) {
+        public void take(MemberList list, EndpointUpdate how) {
             if (list.version() > taken) {
                 taken = list.version();
                 takenAt = now;
@@ -314,10 +314,10 @@
     void aListThatTakesLongToComeIsTaken() {
         Agent agent = new Agent(1, Way.SLOW);
         agent.run(SLOW_NS - S);
-        assertFalse(agent.watch.held());
+        assertFalse(agent.watch.isSynced());
         assertTrue(agent.watch.freshness().open(), "by the list as held, after the time of an answer");
         agent.run(SLOW_NS + S);
-        assertTrue(agent.watch.held());
+        assertTrue(agent.watch.isSynced());
         assertTrue(agent.mostOut <= ListWatch.MAX_PENDING_CALLS, "" + agent.mostOut);
     }
 
@@ -374,7 +374,7 @@
         assertEquals(41, agent.taken);
         agent.version = 7; // it began anew, and answers by its own count
         agent.run(3 * S);
-        assertEquals(ListForm.FULL, agent.form);
+        assertEquals(EndpointUpdate.SNAPSHOT, agent.form);
         agent.taken = 0;
         agent.change();
         assertTrue(agent.told(8, S) - agent.now <= 0, "and the watch goes on by its count");
@@ -386,11 +386,11 @@
         Agent agent = new Agent(1);
         assertFalse(agent.watch.freshness().open());
         agent.run(2 * MS);
-        assertTrue(agent.watch.freshness().open() && agent.watch.held());
+        assertTrue(agent.watch.freshness().open() && agent.watch.isSynced());
         Agent silent = new Agent(1, Way.SILENT);
         silent.run(ListWatch.ANSWER_TIMEOUT_NS - 1);
         assertFalse(silent.watch.freshness().open());
         silent.run(ListWatch.ANSWER_TIMEOUT_NS + GRACE / 4); // at the next heartbeat
-        assertTrue(silent.watch.freshness().open() && !silent.watch.held());
+        assertTrue(silent.watch.freshness().open() && !silent.watch.isSynced());
     }
 }
--- a/src/test/java/beechseam/platform/ManyServersTest.java
+++ b/src/test/java/beechseam/platform/ManyServersTest.java
@@ -22,7 +22,7 @@
 
 /** What the whole program needs before sixteen times the servers, for the same jobs: bounds of the terms. */
 @EnabledOnOs(OS.LINUX)
-class ManyServersTest extends ProgramRig {
+class ManyServersTest extends ProgramHarness {
     private static final int USUAL = 200;
     private static final int MANY = 16 * USUAL;
     private static final int JOBS = 600;
--- a/src/test/java/beechseam/platform/NodeRig.java
+++ b/src/test/java/beechseam/platform/NodeHarness.java
@@ -5,9 +5,9 @@
 import beechseam.Loopback;
 import beechseam.Loopback.Peer;
 import beechseam.config.ConfigException;
+import beechseam.config.ConfigNode;
 import beechseam.config.Json;
 import beechseam.config.NodeConfig;
-import beechseam.config.Tree;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 
 /** Stand-ins on loopback for all that a node talks to. */
-abstract class NodeRig {
+abstract class NodeHarness {
     static final String SETTINGS = """
         {"Classes":[
           {"Name":"safe","AimNs":100000000,"DeadlineNs":60000000000,"Effect":"read_like","Worth":1},
@@ -52,7 +52,7 @@
                         + "\"limits\":{\"sockets\":128},\"known\":"
                         + list(1, row("SERVING")) + ",\"settings\":" + settings + "}")
                 .getBytes(StandardCharsets.UTF_8);
-        return NodeConfig.of(new Tree("", (Map<?, ?>) Json.parse(text, 0, text.length)));
+        return NodeConfig.of(new ConfigNode("", (Map<?, ?>) Json.parse(text, 0, text.length)));
     }
 
     @AfterEach
@@ -95,12 +95,14 @@
 
     /** The node's first call to discovery is answered, so that it sends, and its watch is open. */
     void listed(PlatformNode node) {
-        net.until("the list's request", () -> discovery.stream().anyMatch(NodeRig::asksForTheList));
-        Peer agent =
-                discovery.stream().filter(NodeRig::asksForTheList).findFirst().orElseThrow();
+        net.until("the list's request", () -> discovery.stream().anyMatch(NodeHarness::asksForTheList));
+        Peer agent = discovery.stream()
+                .filter(NodeHarness::asksForTheList)
+                .findFirst()
+                .orElseThrow();
         agent.take();
         agent.say(answer("200 OK", list(2, row("SERVING"))));
-        net.until("the watch", () -> node.held() && agent.heard().endsWith("\r\n\r\n"));
+        net.until("the watch", () -> node.isSynced() && agent.heard().endsWith("\r\n\r\n"));
         assertTrue(agent.heard().startsWith("GET /catalog/members?after=2&wait_ms="), agent.heard());
     }
 
--- a/src/test/java/beechseam/platform/PlatformNodeTest.java
+++ b/src/test/java/beechseam/platform/PlatformNodeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A whole node on loopback, with stand-ins for discovery, executors and clients. */
-class PlatformNodeTest extends NodeRig {
+class PlatformNodeTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
 
     private final PlatformNode node;
@@ -106,7 +106,7 @@
         Peer client = ask("c1", "once", "30000m");
         attempt(0, "c1").close();
         net.until("an answer", () -> client.heard().startsWith("HTTP/1.1 502"));
-        assertEquals(1, node.counters.sent, "not sent again");
+        assertEquals(1, node.counters.attemptsSent, "not sent again");
     }
 
     /**
@@ -122,11 +122,11 @@
                 () -> discovery.size() == 1 && discovery.get(0).heard().endsWith("\r\n\r\n"));
         net.until(
                 "hops on all connections to one target",
-                () -> node.counters.sent == 10
+                () -> node.counters.attemptsSent == 10
                         && executor.size() == 6
                         && executor.stream().allMatch(each -> each.heard().endsWith("body")));
         discovery.get(0).say(answer("200 OK", list(3, row("DRAINING"))));
-        net.until("the drain", () -> !node.engine.routes().serving(0x0badcafeL));
+        net.until("the drain", () -> !node.engine.routeTable().acceptsNewWork(0x0badcafeL));
         executor.forEach(each -> each.say(answer("202 Accepted", "")));
         net.until("the rest withheld", () -> node.counters.withheld == 4);
         for (Peer each : executor) {
@@ -146,7 +146,7 @@
                 "the list's request",
                 () -> discovery.size() == 1 && discovery.get(0).heard().endsWith("\r\n\r\n"));
         discovery.get(0).say(answer("200 OK", list(2, row("SERVING") + "," + other)));
-        net.until("both listed", () -> node.engine.routes().knows(0xbeefL));
+        net.until("both listed", () -> node.engine.routeTable().contains(0xbeefL));
         Peer client = ask("c1", "safe", "30000m");
         net.until(
                 "the hop",
@@ -181,7 +181,7 @@
         assertFalse(executor.get(0).heard().contains("DELETE"), "what runs stays where it is");
         done("c1", "here");
         heard(client, "here");
-        assertEquals(1, node.counters.sent);
+        assertEquals(1, node.counters.attemptsSent);
     }
 
     @Test
@@ -198,8 +198,8 @@
         Peer client = ask("c1", "once", "30000m");
         attempt(0, "c1").take();
         client.close();
-        net.until("the leaving", () -> node.counters.left == 1);
-        assertEquals(0, node.engine.open());
+        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        assertEquals(0, node.engine.openRequests());
     }
 
     /** A machine that vanishes never sends its 202: given up, the attempt must not keep its connection. */
@@ -280,10 +280,10 @@
                 .say(answer(
                         "200 OK", "{\"version\":43,\"full\":true,\"servers\":[{\"id\":7}," + row("SERVING") + "]}"));
         net.until("the watch after it", () -> discovery.get(1).heard().contains("after=43&"));
-        assertTrue(node.engine.routes().serving(0x0badcafeL));
+        assertTrue(node.engine.routeTable().acceptsNewWork(0x0badcafeL));
         discovery.get(1).say(answer("200 OK", "{\"version\":44,\"full\":true,\"servers\":[]}"));
-        net.until("the row to go", () -> node.engine.routes().size() == 0);
-        assertNull(node.engine.find("c1"));
+        net.until("the row to go", () -> node.engine.routeTable().size() == 0);
+        assertNull(node.engine.findRequest("c1"));
     }
 
     /** Versions are counted otherwise there: first a whole list, and till it comes the old table serves. */
@@ -301,7 +301,7 @@
                 "a request there",
                 () -> moved.size() == 1 && moved.get(0).heard().endsWith("\r\n\r\n"));
         assertTrue(moved.get(0).take().startsWith("GET /catalog/members HTTP/1.1\r\n"));
-        assertTrue(node.engine.routes().serving(0x0badcafeL));
+        assertTrue(node.engine.routeTable().acceptsNewWork(0x0badcafeL));
         node.reload(next); // again, to where it is already: the request under way goes on
         moved.get(0).close(); // the whole list is owed still
         net.until(
@@ -310,7 +310,7 @@
         assertTrue(moved.get(1).take().startsWith("GET /catalog/members HTTP/1.1\r\n"));
         moved.get(1).say(answer("200 OK", list(3, "")));
         net.until("the watch there", () -> moved.get(1).heard().contains("after=3&"));
-        assertFalse(node.engine.routes().serving(0x0badcafeL));
+        assertFalse(node.engine.routeTable().acceptsNewWork(0x0badcafeL));
         assertEquals(1, discovery.size());
         done("c1", "kept");
         assertTrue(heard(client, "kept").startsWith("HTTP/1.1 200"));
@@ -360,7 +360,7 @@
                 () -> client.heard().endsWith("\n") && client.heard().contains("\r\n\r\n"));
         assertTrue(client.heard().startsWith("HTTP/1.1 " + status + " "), client.heard());
         assertEquals(1, node.counters.badInput);
-        assertEquals(0, node.counters.taken);
+        assertEquals(0, node.counters.requestsAccepted);
     }
 
     /** A close with unread input would reset the connection, and destroy the answer on its way. */
@@ -387,7 +387,7 @@
         assertTrue(half.heard().startsWith("HTTP/1.1 408 ") && body.heard().startsWith("HTTP/1.1 408 "));
         assertEquals("", silent.heard());
         assertFalse(idle.gone);
-        assertEquals(0, node.counters.taken);
+        assertEquals(0, node.counters.requestsAccepted);
     }
 
     /** Silent connections by the hundred: the call-back that the job waits for still comes through. */
@@ -433,7 +433,7 @@
         for (int i = 0; i < 29; i++) {
             clients.add(ask("c" + i, "once", "30000m"));
         }
-        net.until("all taken", () -> node.counters.taken == 29);
+        net.until("all taken", () -> node.counters.requestsAccepted == 29);
         Peer over = ask("over", "once", "30000m");
         net.until("an answer", () -> over.heard().startsWith("HTTP/1.1 503"));
         assertTrue(over.heard().contains("Retry-After: 1.500\r\n"));
@@ -441,7 +441,7 @@
         done("c0", "through");
         heard(clients.get(0), "through");
         Peer next = ask("next", "once", "30000m");
-        net.until("taken again", () -> node.counters.taken == 30);
+        net.until("taken again", () -> node.counters.requestsAccepted == 30);
         assertFalse(next.gone);
         assertEquals(1, node.counters.crowdedOut());
     }
@@ -489,7 +489,7 @@
         done("c2", "two");
         assertTrue(heard(late, "two").contains("Connection: close\r\n"));
         net.until("the end", () -> stopped);
-        assertEquals(0, node.engine.open());
+        assertEquals(0, node.engine.openRequests());
     }
 
     /** After the call nothing idle or young may be held, while what was taken and its call-backs go on. */
@@ -538,7 +538,7 @@
         }
         net.until(
                 "hops on all connections",
-                () -> node.counters.sent == 10
+                () -> node.counters.attemptsSent == 10
                         && executor.size() == 6
                         && executor.stream().allMatch(each -> each.heard().endsWith("body")));
         assertEquals(List.of("0", "0", "0", "6", "10", "1", "0"), figures("once"));
@@ -584,7 +584,7 @@
         }
         net.until(
                 "hops on all connections",
-                () -> node.counters.sent == 10
+                () -> node.counters.attemptsSent == 10
                         && executor.size() == 6
                         && executor.stream().allMatch(each -> each.heard().endsWith("body")));
         assertEquals("OK\n", operator(node.console(), "maint-on s-0badcafe"));
@@ -593,7 +593,7 @@
         net.until("the rest withheld", () -> node.counters.withheld == 4);
         discovery.get(0).say(answer("200 OK", list(3, row("SERVING"))));
         net.until("the list", () -> discovery.get(0).heard().contains("after=3&"));
-        assertFalse(node.engine.routes().serving(0x0badcafeL));
+        assertFalse(node.engine.routeTable().acceptsNewWork(0x0badcafeL));
         for (int i = 0; i < 10; i++) {
             done("c" + i, "r");
         }
@@ -666,7 +666,7 @@
         }
         net.until(
                 "all answers",
-                () -> node.engine.open() == 0
+                () -> node.engine.openRequests() == 0
                         && clients.stream()
                                 .allMatch(each -> each.closed() || each.heard().contains("\r\n\r\n")));
         for (Peer each : clients) {
@@ -674,9 +674,12 @@
             assertEquals(heard.lastIndexOf("HTTP/1.1 "), heard.isEmpty() ? -1 : 0, "one answer: " + heard);
         }
         assertEquals(
-                node.counters.taken,
-                node.counters.served() + node.counters.shed() + node.counters.failed() + node.counters.left);
-        assertTrue(node.counters.left <= left);
+                node.counters.requestsAccepted,
+                node.counters.served()
+                        + node.counters.shed()
+                        + node.counters.failed()
+                        + node.counters.clientsDisconnected);
+        assertTrue(node.counters.clientsDisconnected <= left);
         assertEquals(0, node.counters.current());
         assertEquals(0, node.counters.faults);
     }
--- a/src/test/java/beechseam/platform/SuccessionTest.java
+++ b/src/test/java/beechseam/platform/ProcessHandoverTest.java
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Two processes of one node at one address, here on one loop: the younger joins, the elder hands over. */
-class SuccessionTest extends NodeRig {
-    private final Path directory = Files.createTempDirectory("succession");
+class ProcessHandoverTest extends NodeHarness {
+    private final Path directory = Files.createTempDirectory("handover");
     private final int port = freePort();
     private final Set<PlatformNode> ended = new HashSet<>();
     private final PlatformNode elder = start();
 
-    SuccessionTest() throws Exception {
+    ProcessHandoverTest() throws Exception {
         net.until("the elder's list", () -> {
             answerDiscovery();
-            return elder.held();
+            return elder.isSynced();
         });
     }
 
@@ -95,7 +95,7 @@
         net.until("the client sent on", () -> idle.gone);
         net.settle(50);
         Peer next = ask("c2", "once", "30000m"); // the elder listens no more
-        net.until("taken by the younger", () -> younger.counters.taken == 1);
+        net.until("taken by the younger", () -> younger.counters.requestsAccepted == 1);
         done("c1", "one"); // comes to the younger, and is the elder's
         assertTrue(heard(early, "one").contains("Connection: close\r\n"));
         net.until("the elder's end", () -> ended.contains(elder));
@@ -172,9 +172,10 @@
             done("c" + i, "r");
             heard(client, "r");
         }
-        double[] learned = elder.engine.handOver().get("class safe");
+        double[] learned = elder.engine.exportLearnedState().entries().get("class safe");
         assertEquals(5, learned[2]);
-        assertArrayEquals(learned, successor().engine.handOver().get("class safe"));
+        assertArrayEquals(
+                learned, successor().engine.exportLearnedState().entries().get("class safe"));
     }
 
     /** A ban holds through an upgrade and a kill, and either process may be told. */
@@ -182,17 +183,17 @@
     void maintenanceHoldsForBothProcessesAndTheNext() throws Exception {
         assertEquals("OK\n", operator(elder.console(), "maint-on s-0badcafe"));
         PlatformNode younger = successor();
-        assertFalse(younger.engine.routes().serving(0x0badcafeL), "kept, though it is listed");
+        assertFalse(younger.engine.routeTable().acceptsNewWork(0x0badcafeL), "kept, though it is listed");
         operator(younger.console(), "maint-off s-0badcafe");
         net.until(
                 "back at both",
-                () -> elder.engine.routes().serving(0x0badcafeL)
-                        && younger.engine.routes().serving(0x0badcafeL));
+                () -> elder.engine.routeTable().acceptsNewWork(0x0badcafeL)
+                        && younger.engine.routeTable().acceptsNewWork(0x0badcafeL));
         operator(elder.console(), "maint-on s-0badcafe");
-        net.until("out at both", () -> !younger.engine.routes().serving(0x0badcafeL));
+        net.until("out at both", () -> !younger.engine.routeTable().acceptsNewWork(0x0badcafeL));
         stop(elder);
         net.until("the elder's end", () -> ended.contains(elder));
-        assertFalse(successor().engine.routes().serving(0x0badcafeL));
+        assertFalse(successor().engine.routeTable().acceptsNewWork(0x0badcafeL));
     }
 
     /** A ban that could not be kept binds all the same, says so, and is kept when it is said again. */
@@ -201,16 +202,16 @@
         Path aside = directory.resolveSibling(directory.getFileName() + "-aside");
         Files.move(directory, aside);
         assertTrue(operator(elder.console(), "maint-on s-0badcafe").startsWith("ERR done, but"));
-        assertFalse(elder.engine.routes().serving(0x0badcafeL));
+        assertFalse(elder.engine.routeTable().acceptsNewWork(0x0badcafeL));
         Files.move(aside, directory);
         assertEquals("OK\n", operator(elder.console(), "maint-on s-0badcafe"));
-        assertFalse(successor().engine.routes().serving(0x0badcafeL));
+        assertFalse(successor().engine.routeTable().acceptsNewWork(0x0badcafeL));
     }
 
     /** Random jobs, call-backs and pauses through one upgrade: one whole answer to every client. */
     @Property(seed = "1207", tries = 8)
     void everyClientGetsOneAnswerThroughAnUpgrade(@ForAll long seed) throws Exception {
-        SuccessionTest each = new SuccessionTest();
+        ProcessHandoverTest each = new ProcessHandoverTest();
         try {
             each.randomSteps(new Random(seed));
         } finally {
@@ -245,7 +246,7 @@
         PlatformNode last = younger;
         net.until(
                 "all answers",
-                () -> last.engine.open() == 0
+                () -> last.engine.openRequests() == 0
                         && ended.contains(elder)
                         && clients.stream().allMatch(each -> each.heard().contains("\r\n\r\n")));
         for (Peer each : clients) {
--- a/src/test/java/beechseam/platform/ProgramRig.java
+++ b/src/test/java/beechseam/platform/ProgramHarness.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** The whole program in a process of its own, between the rig's stand-ins. */
-abstract class ProgramRig extends NodeRig {
+abstract class ProgramHarness extends NodeHarness {
     static final int SOCKETS = 256;
 
     InetSocketAddress node = new InetSocketAddress("127.0.0.1", freePort());
--- a/src/test/java/beechseam/platform/CrossingsTest.java
+++ b/src/test/java/beechseam/platform/RaceConditionTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.Outcome;
 import beechseam.Loopback.Peer;
 import beechseam.core.Attempt;
 import beechseam.core.Ingress;
 import beechseam.core.Request;
+import beechseam.dispatch.Outcome;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  * What comes between two lines of code: each test forces one crossing over loopback sockets, whose kernel
  * side acts at once while the node's loop is turned by hand. docs/STANDING.md lists them.
  */
-class CrossingsTest extends NodeRig {
+class RaceConditionTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
     private static final long TARGET = 0x0badcafeL;
     private static final String MARKED_RETRIES =
@@ -44,7 +44,7 @@
         node(settings);
         call(0, "");
         discovery.get(0).say(answer("200 OK", list(2, row("SERVING") + (two ? "," + row2() : ""))));
-        net.until("the list", () -> node.held());
+        net.until("the list", () -> node.isSynced());
     }
 
     private String row2() {
@@ -111,7 +111,7 @@
         Peer client = twoAtOnce("300m", 500);
         net.until("both answers", () -> client.heard().contains("HTTP/1.1 503"));
         assertTrue(client.heard().startsWith("HTTP/1.1 200"), client.heard());
-        assertEquals(1, node.counters.sent);
+        assertEquals(1, node.counters.attemptsSent);
     }
 
     /** Two requests in one write; the first is served after a while, and the second has so much time. */
@@ -156,11 +156,11 @@
         Peer client = connected();
         client.say(job("c1", "safe"));
         client.close();
-        net.until("the leaving", () -> node.counters.left == 1);
+        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
         net.settle(50);
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         assertEquals(0, node.counters.current());
-        assertEquals(0, node.engine.open());
+        assertEquals(0, node.engine.openRequests());
         assertTrue(executor.isEmpty());
     }
 
@@ -179,14 +179,14 @@
         long before = written();
         Peer client = connected().say(job("c1", "safe"));
         net.until("the hop", () -> written() == before + 1);
-        Request r = node.engine.find("c1");
+        Request r = node.engine.findRequest("c1");
         Attempt first = r.attemptAt(TARGET) != null ? r.attemptAt(TARGET) : r.attemptAt(0xbeefL);
         client.close();
-        node.engine.ended(first, Outcome.REFUSED, null, null); // before the loop has read the close
-        net.until("the leaving", () -> node.counters.left == 1);
+        node.engine.attemptEnded(first, Outcome.REJECTED, null, null); // before the loop has read the close
+        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
         net.settle(100);
         assertEquals(before + 1, written());
-        assertNull(node.engine.find("c1"));
+        assertNull(node.engine.findRequest("c1"));
     }
 
     /** Where nothing may be cancelled an attempt that waits for a connection outlives its client. */
@@ -199,9 +199,9 @@
         }
         net.until("all connections busy", () -> written() == CONNECTIONS);
         Peer last = connected().say(job("last", "once"));
-        net.until("its hop", () -> node.counters.sent == CONNECTIONS + 1);
+        net.until("its hop", () -> node.counters.attemptsSent == CONNECTIONS + 1);
         last.close();
-        net.until("the leaving", () -> node.counters.left == 1);
+        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
         executor.forEach(each -> each.say(answer("202 Accepted", "")));
         net.settle(100);
         assertEquals(CONNECTIONS, written());
@@ -216,10 +216,10 @@
         net.until("the hop", () -> written() == 1);
         client.say(job("c2", "once").repeat(1500)); // 240 KB
         net.until("all is out", () -> client.unwritten() == 0);
-        assertEquals(0, node.counters.left);
+        assertEquals(0, node.counters.clientsDisconnected);
         client.close();
-        net.until("the leaving", () -> node.counters.left == 1);
-        assertEquals(1, node.counters.taken);
+        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        assertEquals(1, node.counters.requestsAccepted);
     }
 
     /** Who stays behind such a heap gets the answer to what was taken, and no more. */
@@ -236,7 +236,7 @@
         assertTrue(client.heard().startsWith("HTTP/1.1 200 OK"), client.heard());
         assertTrue(client.heard().endsWith("mine"), client.heard());
         assertTrue(client.heard().contains("Connection: close"));
-        assertEquals(1, node.counters.taken);
+        assertEquals(1, node.counters.requestsAccepted);
     }
 
     // ---- Connections to executors
@@ -254,7 +254,7 @@
         Answers answers = new Answers();
         Object message = new JobMessage("/once/x", "X-Correlation-Id: c2\r\n", "body".getBytes());
         // Before the loop has read that close.
-        node.engine.take("c2", 1, 30_000_000_000L, 1, 0, message, answers);
+        node.engine.submit("c2", 1, 30_000_000_000L, 1, 0, message, answers);
         attempt(1, "c2").say(answer("202 Accepted", ""));
         done("c2", "two");
         net.until("the answer", () -> answers.said.equals("served two"));
@@ -268,7 +268,9 @@
         for (int i = 0; i < CONNECTIONS + 1; i++) {
             ask("c" + i, "once", "30000m");
         }
-        net.until("all connections busy", () -> written() == CONNECTIONS && node.counters.sent == CONNECTIONS + 1);
+        net.until(
+                "all connections busy",
+                () -> written() == CONNECTIONS && node.counters.attemptsSent == CONNECTIONS + 1);
         executor.get(0).say(answer("202 Accepted", "") + answer("500 Oops", ""));
         attempt(CONNECTIONS, "c");
         net.settle(50);
@@ -325,7 +327,7 @@
         event("c1", "\"from\":\"s-0badcafe\",\"state\":\"started\"");
         call(0, "after=2&");
         discovery.get(0).say(answer("200 OK", list(3, "")));
-        net.until("the row to go", () -> node.engine.routes().size() == 0);
+        net.until("the row to go", () -> node.engine.routeTable().size() == 0);
         done("c1", "fine");
         heard(client, "fine");
         net.until("the end of its connection", () -> silent.gone);
@@ -339,7 +341,7 @@
         net.until("the hop", () -> written() == 1);
         (executor.isEmpty() ? other : executor).get(0).close();
         net.until("an answer", () -> client.heard().startsWith("HTTP/1.1 502"));
-        assertEquals(1, node.counters.sent);
+        assertEquals(1, node.counters.attemptsSent);
     }
 
     // ---- Answer and time
@@ -390,10 +392,10 @@
         long start = System.nanoTime();
         call(1, "GET /catalog/members HTTP/1.1");
         assertTrue(System.nanoTime() - start < 1_500_000_000L);
-        assertTrue(node.engine.routes().serving(TARGET), "by the list as last held");
-        assertFalse(node.held());
+        assertTrue(node.engine.routeTable().acceptsNewWork(TARGET), "by the list as last held");
+        assertFalse(node.isSynced());
         discovery.get(1).say(answer("200 OK", list(9, "")));
-        net.until("the list", () -> node.engine.routes().size() == 0);
+        net.until("the list", () -> node.engine.routeTable().size() == 0);
     }
 
     /** Whoever answers first has the word, and the others are hung up. */
@@ -402,7 +404,7 @@
         node(SETTINGS);
         call(1, "");
         discovery.get(0).say(answer("200 OK", list(9, row("DRAINING"))));
-        net.until("the list", () -> !node.engine.routes().serving(TARGET));
+        net.until("the list", () -> !node.engine.routeTable().acceptsNewWork(TARGET));
         net.until("the other's end", () -> discovery.get(1).gone);
         call(0, "after=9&");
     }
@@ -414,7 +416,7 @@
         List<Peer> moved = new ArrayList<>();
         String settings = SETTINGS;
         InetSocketAddress movedTo = net.standIn(moved);
-        node.rereads(() -> {
+        node.reloadsFrom(() -> {
             try {
                 return config(movedTo, LISTEN, settings);
             } catch (IOException e) {
@@ -437,7 +439,7 @@
         assertTrue(heard(early, "ready\n").startsWith("HTTP/1.1 503"));
         call(0, "");
         discovery.get(0).say(answer("200 OK", list(2, row("SERVING"))));
-        net.until("the list", () -> node.held());
+        net.until("the list", () -> node.isSynced());
         assertTrue(node.ready());
     }
 
@@ -456,7 +458,7 @@
         net.until(
                 "a call there", () -> moved.size() == 1 && moved.get(0).heard().endsWith("\r\n\r\n"));
         moved.get(0).say(answer("200 OK", list(1, row("DRAINING"))));
-        net.until("the drain", () -> !node.engine.routes().serving(TARGET));
+        net.until("the drain", () -> !node.engine.routeTable().acceptsNewWork(TARGET));
         Peer late = connected().say(job("c2", "once"));
         done("c1", "one");
         heard(client, "one");
--- a/src/test/java/beechseam/platform/RepeatedCallbackTest.java
+++ b/src/test/java/beechseam/platform/RepeatedCallbackTest.java
@@ -17,7 +17,7 @@
  * answered. So an event of one attempt must never be booked on a further one at the same executor, and a
  * further one must not overtake the call that gives the first up.
  */
-class RepeatedCallbackTest extends NodeRig {
+class RepeatedCallbackTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
     private static final String FIRST = "s-0badcafe";
     private static final String SECOND = "s-0000beef";
@@ -45,7 +45,7 @@
                     row("SERVING").replace(FIRST, SECOND).replace(":" + executorAt.getPort(), ":" + otherAt.getPort());
             discovery.get(0).take();
             discovery.get(0).say(answer("200 OK", list(3, row("SERVING") + "," + second)));
-            net.until("both listed", () -> node.engine.routes().size() == 2);
+            net.until("both listed", () -> node.engine.routeTable().size() == 2);
         }
     }
 
--- a/src/test/java/beechseam/platform/RouteTableGateTest.java
+++ b/src/test/java/beechseam/platform/RouteTableGateTest.java
@@ -17,7 +17,7 @@
  * No attempt goes by a route table that discovery may have changed: after a start, a move, and a time in
  * which the process did not run. The loop is turned by hand, so that what a test does not read stays unread.
  */
-class RouteTableGateTest extends NodeRig {
+class RouteTableGateTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
     private static final String OTHER = "s-0000beef";
     private static final long LONGER_THAN_THE_GRACE_MS = 400;
@@ -44,7 +44,7 @@
     private void startListed() {
         start();
         say(discovery, 0, list(2, row("SERVING") + "," + otherRow()));
-        net.until("the list", () -> node.held());
+        net.until("the list", () -> node.isSynced());
         called(discovery, 0, "after=2&");
     }
 
@@ -84,7 +84,7 @@
 
     private static void take(PlatformNode by, String id) {
         Object message = new JobMessage("/safe/x", "X-Correlation-Id: " + id + "\r\n", "body".getBytes());
-        by.engine.take(id, 0, 30_000_000_000L, 1, 0, message, new AnyAnswer());
+        by.engine.submit(id, 0, 30_000_000_000L, 1, 0, message, new AnyAnswer());
     }
 
     /** The one attempt has gone to the executor that still serves. */
@@ -92,7 +92,7 @@
         net.until("the attempt", () -> !other.isEmpty() && other.get(0).heard().contains(id));
         net.settle(30);
         assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")), "by the old list");
-        assertEquals(1, node.counters.sent);
+        assertEquals(1, node.counters.attemptsSent);
     }
 
     // ---- Start
@@ -102,9 +102,9 @@
     void aRequestBeforeDiscoverysFirstAnswerWaitsAndGoesByIt(boolean drained) {
         start();
         Peer client = ask("c1", "safe", "30000m");
-        net.until("the request", () -> node.counters.taken == 1);
+        net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         assertEquals("", client.heard(), "it waits, and is not turned away");
         say(discovery, 0, drained ? drained() : list(7, row("SERVING")));
         if (drained) {
@@ -122,7 +122,7 @@
         attempt(0, "c1");
         assertTrue(System.nanoTime() - startedAt > ListWatch.ANSWER_TIMEOUT_NS * 8 / 10);
         assertEquals(RouteTableFreshness.State.UNCONFIRMED, node.routeTable());
-        assertFalse(node.held());
+        assertFalse(node.isSynced());
     }
 
     @Test
@@ -134,7 +134,7 @@
                 () -> client.heard().endsWith("\n") && client.heard().contains("\r\n\r\n"));
         assertTrue(client.heard().startsWith("HTTP/1.1 503"), client.heard());
         assertTrue(client.heard().contains("Retry-After: 0."), client.heard());
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
     }
 
     /** The clock says that discovery has had its time, but this process had none: the answer lies unread. */
@@ -144,7 +144,7 @@
         say(discovery, 0, drained());
         notRunFor(LONGER_THAN_AN_ANSWER_MS);
         take("c1");
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         called(discovery, 0, "after=7&");
         say(discovery, 0, list(7, "").replace("true", "false"));
         goesToTheOther("c1");
@@ -159,7 +159,7 @@
             net.settle(1);
         }
         take("c1");
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         say(discovery, discovery.size() - 1, drained());
         goesToTheOther("c1");
     }
@@ -173,7 +173,7 @@
         assertTrue(waiting.contains("X-Route-Table: awaited\r\n"), waiting);
         assertEquals("ERR waiting for discovery's list\n", operator(node.console(), "status"));
         say(discovery, 0, list(2, row("SERVING")));
-        net.until("the list", () -> node.held());
+        net.until("the list", () -> node.isSynced());
         early.say("GET /_health HTTP/1.1\r\n\r\n");
         String ready = heard(early, "ready\n");
         assertTrue(ready.startsWith("HTTP/1.1 200") && ready.contains("X-Route-Table: confirmed\r\n"), ready);
@@ -188,9 +188,9 @@
         List<Peer> moved = new ArrayList<>();
         node.reload(config(net.standIn(moved), LISTEN));
         Peer client = ask("c1", "safe", "30000m");
-        net.until("the request", () -> node.counters.taken == 1);
+        net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         assertEquals("", client.heard());
         assertTrue(node.ready(), "a node that has served stays in service meanwhile");
         called(moved, 0, "");
@@ -207,7 +207,7 @@
         say(discovery, 0, drained());
         notRunFor(LONGER_THAN_THE_GRACE_MS);
         take("c1");
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         called(discovery, 0, "after=7&");
         assertEquals(1, discovery.size(), "one call is enough");
         say(discovery, 0, list(7, "").replace("true", "false"));
@@ -221,7 +221,7 @@
         say(discovery, 0, list(2, "").replace("true", "false"));
         notRunFor(LONGER_THAN_THE_GRACE_MS);
         take("c1");
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         called(discovery, 1, "after=2&wait_ms=1 ");
         say(discovery, 1, drained());
         goesToTheOther("c1");
@@ -233,7 +233,7 @@
         startListed();
         notRunFor(LONGER_THAN_THE_GRACE_MS);
         take("c1");
-        assertEquals(0, node.counters.sent);
+        assertEquals(0, node.counters.attemptsSent);
         called(discovery, 1, "after=2&wait_ms=1 ");
         say(discovery, 1, drained());
         goesToTheOther("c1");
@@ -244,7 +244,7 @@
     void anAttemptThatWaitedThroughAStopGoesByTheNewList() {
         startListed();
         take("c1");
-        assertEquals(1, node.counters.sent);
+        assertEquals(1, node.counters.attemptsSent);
         say(discovery, 0, drained());
         notRunFor(LONGER_THAN_THE_GRACE_MS);
         net.settle(20);
@@ -266,7 +266,7 @@
         node = new PlatformNode(net.loop, config(discoveryAt, keeps));
         called(discovery, 0, "");
         say(discovery, 0, list(2, row("SERVING") + "," + otherRow()));
-        net.until("the list", () -> node.held());
+        net.until("the list", () -> node.isSynced());
         PlatformNode younger = new PlatformNode(
                 net.loop,
                 config(
@@ -276,7 +276,7 @@
         called(discovery, 1, "");
         take(younger, "c1");
         net.settle(100);
-        assertEquals(0, younger.counters.sent);
+        assertEquals(0, younger.counters.attemptsSent);
         say(discovery, 1, drained());
         net.until("the attempt", () -> !other.isEmpty() && other.get(0).heard().contains("c1"));
         assertTrue(executor.isEmpty());
--- a/src/test/java/beechseam/platform/ServerStartTimesTest.java
+++ b/src/test/java/beechseam/platform/ServerStartTimesTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import beechseam.Dispatching.State;
 import beechseam.config.MemberList.Server;
+import beechseam.dispatch.EndpointState;
 import java.net.InetSocketAddress;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
     private final ServerStartTimes times = new ServerStartTimes(() -> now, () -> now / MS + nodeStepMs);
 
     private static Server server(String id, long startedMs) {
-        return new Server(id, "", new InetSocketAddress(1), "a", "k", 0, State.READY, 1, startedMs);
+        return new Server(id, "", new InetSocketAddress(1), "a", "k", 0, EndpointState.READY, 1, startedMs);
     }
 
     private long listed(String id, long startedMs) {
--- a/src/test/java/beechseam/platform/ShapesTest.java
+++ b/src/test/java/beechseam/platform/SettingsIsolationTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.Dispatching.Effect;
-import beechseam.Dispatching.JobClass;
 import beechseam.Loopback.Peer;
 import beechseam.config.NodeConfig;
+import beechseam.dispatch.Idempotency;
+import beechseam.dispatch.JobClass;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
  * The same scenes under settings of every shape that the node is run with, each beside a node of another
  * shape in this process: nothing of the one may show in the other.
  */
-class ShapesTest extends NodeRig {
+class SettingsIsolationTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
     private static final long MS = 1_000_000L;
 
@@ -85,7 +85,7 @@
                 "the list's request",
                 () -> discovery.size() > line && discovery.get(line).heard().endsWith("\r\n\r\n"));
         discovery.get(line).say(answer("200 OK", list(2, row("SERVING"))));
-        net.until("the list", node::held);
+        net.until("the list", node::isSynced);
         return node;
     }
 
@@ -123,14 +123,14 @@
             Peer reset = sent("reset-" + each, each);
             at("reset-" + each).close();
             net.until("an answer", () -> reset.heard().contains("\r\n\r\n"));
-            boolean harmless = of.effect() == Effect.SAFE || each.endsWith("-all");
+            boolean harmless = of.idempotency() == Idempotency.IDEMPOTENT || each.endsWith("-all");
             assertEquals(harmless, reset.heard().startsWith("HTTP/1.1 503"), reset.heard());
             boolean says = harmless && node.options.settings.limits().retryAfter();
             assertEquals(says, reset.heard().contains("Retry-After: "), reset.heard());
             // A client that goes is forgotten, whatever may be cancelled.
-            long left = node.counters.left;
+            long left = node.counters.clientsDisconnected;
             sent("left-" + each, each).close();
-            net.until("the leaving", () -> node.counters.left == left + 1);
+            net.until("the leaving", () -> node.counters.clientsDisconnected == left + 1);
             at("left-" + each).say(answer("202 Accepted", ""));
             done("left-" + each, "nobody's");
             // The other node knows nothing of the class.
@@ -139,10 +139,10 @@
             net.until("an answer", () -> elsewhere.heard().contains("\r\n\r\n"));
             assertTrue(elsewhere.heard().startsWith("HTTP/1.1 404"), elsewhere.heard());
         }
-        assertEquals(0, beside.counters.taken);
-        assertEquals(0, node.engine.open());
+        assertEquals(0, beside.counters.requestsAccepted);
+        assertEquals(0, node.engine.openRequests());
         assertEquals(0, node.counters.faults + beside.counters.faults);
-        assertTrue(beside.engine.avoided() == 0, "doubts of the one are not the other's");
+        assertTrue(beside.engine.unavailableTargets() == 0, "doubts of the one are not the other's");
     }
 
     /** A new configuration: discovery's address and list count from then on, and nothing of the old ones. */
@@ -163,10 +163,10 @@
         node.reload(next);
         net.until(
                 "a call there", () -> moved.size() == 1 && moved.get(0).heard().endsWith("\r\n\r\n"));
-        assertEquals(1, node.engine.routes().size(), "the old address has no word any more");
+        assertEquals(1, node.engine.routeTable().size(), "the old address has no word any more");
         assertTrue(moved.get(0).heard().startsWith("GET /catalog/members HTTP/1.1"), "its version neither");
         moved.get(0).say(answer("200 OK", list(1, row("DRAINING"))));
-        net.until("the drain", () -> !node.engine.routes().serving(0x0badcafeL));
-        assertTrue(beside.engine.routes().serving(0x0badcafeL), "the other node was told nothing");
+        net.until("the drain", () -> !node.engine.routeTable().acceptsNewWork(0x0badcafeL));
+        assertTrue(beside.engine.routeTable().acceptsNewWork(0x0badcafeL), "the other node was told nothing");
     }
 }
--- a/src/test/java/beechseam/platform/ShutdownSoakTest.java
+++ b/src/test/java/beechseam/platform/ShutdownSoakTest.java
@@ -21,7 +21,7 @@
  * with SIGHUP between: clients go on asking on open connections up to the kill, executors answer, refuse,
  * hang and break off by a seed. Short deadlines bring the kill soon. {@code -Dsoak.seeds=A..B} plays others.
  */
-class ShutdownSoakTest extends ProgramRig {
+class ShutdownSoakTest extends ProgramHarness {
     private static final long MS = 1_000_000L;
     private static final long DEADLINE_MS = 250;
     /** SIGKILL comes no sooner after SIGTERM. */
--- a/src/test/java/beechseam/platform/StarterTest.java
+++ b/src/test/java/beechseam/platform/StarterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The whole program under what its starter has set: a limit of descriptors, a signal that is ignored. */
-class StarterTest extends ProgramRig {
+class StarterTest extends ProgramHarness {
     /** As under nohup: SIGHUP reaches nobody, and discovery has moved all the same. */
     @Test
     void aMoveOfDiscoveryIsFoundWhereSighupIsIgnored(@TempDir Path dir) throws Exception {
--- a/src/test/java/beechseam/platform/SystemFaultsTest.java
+++ b/src/test/java/beechseam/platform/SystemFaultsTest.java
@@ -20,7 +20,7 @@
 
 /** The whole program while calls of the system fail for a time, and while the wall clock is stepped. */
 @EnabledIf("beechseam.platform.FaultControl#available")
-class SystemFaultsTest extends ProgramRig {
+class SystemFaultsTest extends ProgramHarness {
     private static final long HOUR_MS = 3_600_000;
     private static final String SECOND = "s-0000beef";
     private static final int BURST = 24;
