--- a/src/main/java/beechseam/sim/Adapter.java
+++ b/src/main/java/beechseam/sim/Adapter.java
@@ -2,11 +2,9 @@
 
 import beechseam.config.ModuleOptions;
 import beechseam.dispatch.Dispatcher;
-import beechseam.dispatch.EndpointState;
 import beechseam.dispatch.EndpointUpdate;
 import beechseam.dispatch.Job;
 import beechseam.dispatch.Outcome;
-import beechseam.dispatch.WorkerEndpoint;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -14,36 +12,33 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Speaks the simulator's wire on a pair of streams and hosts any number of instances; it decides nothing. */
 public final class Adapter {
-    private static final int COUNT_OF_BANKS = 16;
-    private static final EndpointUpdate[] FORMS = {
+    private static final EndpointUpdate[] UPDATES_BY_FORM = {
         EndpointUpdate.DELTA, EndpointUpdate.SNAPSHOT, EndpointUpdate.CACHED, EndpointUpdate.FAILED
     };
 
     private final JsonParser in;
-    private final Replies out;
+    private final Replies replies;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<WorkerEndpoint>> banks = new ArrayList<>();
+    private final EndpointTables tables = new EndpointTables();
     private long now;
 
     /** One instance of the module with what the wire needs to know of it. */
-    private record Instance(Dispatcher module, ModuleOptions options) {}
+    private record Instance(Dispatcher dispatcher, ModuleOptions options) {}
 
+    /** Reads messages from {@code in} and writes actions to {@code out}. */
     public Adapter(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.in = factory.createParser(in);
-        this.out = new Replies(factory.createGenerator(out));
-        for (int i = 0; i < COUNT_OF_BANKS; i++) {
-            banks.add(List.of());
-        }
+        this.replies = new Replies(factory.createGenerator(out));
     }
 
+    /** Runs on standard input and output; exits with status 2 on malformed input. */
     public static void main(String[] args) {
         try {
             new Adapter(System.in, new java.io.FileOutputStream(java.io.FileDescriptor.out)).run();
@@ -59,103 +54,117 @@
         System.exit(2);
     }
 
-    /** Reads until the end of input. */
+    /** Reads until the end of input; malformed input is an {@link IOException} that says what is wrong. */
     public void run() throws IOException {
         while (in.nextToken() != null) {
-            expect(JsonToken.START_OBJECT);
+            expect(in, JsonToken.START_OBJECT);
             String name = in.nextFieldName();
             if (name == null) {
                 throw new IOException("a message without a name");
             }
             in.nextToken();
-            expect(JsonToken.START_OBJECT);
+            expect(in, JsonToken.START_OBJECT);
             if (name.equals("SnapshotRows")) {
-                readBank();
+                tables.read(in);
             } else {
-                Message m = Message.read(in);
-                handle(name, m);
+                Message message = Message.read(in);
+                handle(name, message);
             }
             in.nextToken();
-            expect(JsonToken.END_OBJECT);
+            expect(in, JsonToken.END_OBJECT);
         }
     }
 
-    private void expect(JsonToken token) throws IOException {
+    static void expect(JsonParser in, JsonToken token) throws IOException {
         if (in.currentToken() != token) {
             throw new IOException("expected " + token + ", found " + in.currentToken());
         }
     }
 
-    private void handle(String name, Message m) throws IOException {
+    private void handle(String name, Message message) throws IOException {
         switch (name) {
-            case "Clock" -> now = m.simTimeNs;
-            case "Commit" -> out.yield();
-            case "Born" -> born(m);
-            case "Shutdown" -> instances.remove(m.who);
+            case "Clock" -> now = message.simTimeNs;
+            case "Commit" -> replies.yield();
+            case "Born" -> createInstance(message);
+            case "Shutdown" -> instances.remove(message.instanceId);
             default -> {
-                Instance instance = instances.get(m.who);
+                Instance instance = instances.get(message.instanceId);
                 if (instance == null) {
                     return;
                 }
                 try {
-                    tell(instance, name, m);
+                    dispatch(instance, name, message);
                 } catch (RuntimeException e) {
-                    out.bug(m.who, e);
+                    replies.bug(message.instanceId, e);
                 }
             }
         }
     }
 
-    private void born(Message m) throws IOException {
-        if (m.options == null) {
+    private void createInstance(Message message) throws IOException {
+        if (message.options == null) {
             throw new IOException("Born without Options");
         }
-        ModuleOptions options = ModuleOptions.of(m.options);
-        Dispatcher module = new Dispatcher(now, options.settings, m.randomSeed, out.forInstance(m.who));
-        instances.put(m.who, new Instance(module, options));
+        ModuleOptions options = ModuleOptions.of(message.options);
+        Dispatcher dispatcher =
+                new Dispatcher(now, options.settings, message.randomSeed, replies.forInstance(message.instanceId));
+        instances.put(message.instanceId, new Instance(dispatcher, options));
     }
 
-    private void tell(Instance instance, String name, Message m) throws IOException {
-        Dispatcher module = instance.module;
+    private void dispatch(Instance instance, String name, Message message) throws IOException {
+        Dispatcher dispatcher = instance.dispatcher;
         switch (name) {
-            case "Topology" -> {
-                if (m.form < 0 || m.form >= FORMS.length || m.bank < 0 || m.bank >= COUNT_OF_BANKS) {
-                    throw new IOException("unknown list form or bank");
-                }
-                EndpointUpdate form = FORMS[m.form];
-                module.endpointsUpdated(now, form, form == EndpointUpdate.FAILED ? List.of() : banks.get(m.bank));
-            }
-            case "Inbound" ->
-                module.jobArrived(
-                        now,
-                        new Job(
-                                m.corr,
-                                instance.options.classIndex(m.qos),
-                                m.budgetNs,
-                                m.estimateNs,
-                                m.needs > 0 ? m.needs : 1,
-                                m.memNeeded,
-                                instance.options.marksRetries && !m.retry));
+            case "Topology" -> endpointsUpdated(dispatcher, message);
+            case "Inbound" -> dispatcher.jobArrived(now, job(instance.options, message));
             case "Interim" -> {
-                if (m.kind == 1) {
-                    module.attemptStarted(now, m.corr, m.leg);
-                } else if (m.kind == 2) {
-                    module.attemptProgressed(now, m.corr, m.leg, m.value);
+                if (message.kind == 1) {
+                    dispatcher.attemptStarted(now, message.jobId, message.attempt);
+                } else if (message.kind == 2) {
+                    dispatcher.attemptProgressed(now, message.jobId, message.attempt, message.progress);
                 }
             }
-            case "Begun" -> module.streamingStarted(now, m.corr, m.leg);
+            case "Begun" -> dispatcher.streamingStarted(now, message.jobId, message.attempt);
             case "ClosedAttempt" ->
-                module.attemptEnded(
-                        now, m.corr, m.leg, outcome(m.how), m.closed, instance.options.load(m.gauge, m.gaugeSize));
+                dispatcher.attemptEnded(
+                        now,
+                        message.jobId,
+                        message.attempt,
+                        outcome(message.outcomeName),
+                        message.closed,
+                        instance.options.load(message.loadValues, message.loadValueCount));
             case "StatusBack" ->
-                module.healthCheckCompleted(
-                        now, m.worker, "served".equals(m.how), instance.options.load(m.gauge, m.gaugeSize));
-            case "Lapsed" -> module.clientDisconnected(now, m.corr);
-            case "Alarm" -> module.timerFired(now, m.tag);
+                dispatcher.healthCheckCompleted(
+                        now,
+                        message.worker,
+                        "served".equals(message.outcomeName),
+                        instance.options.load(message.loadValues, message.loadValueCount));
+            case "Lapsed" -> dispatcher.clientDisconnected(now, message.jobId);
+            case "Alarm" -> dispatcher.timerFired(now, message.tag);
             default -> {} // unknown events and messages of peers, which the module does not use
         }
     }
 
+    private void endpointsUpdated(Dispatcher dispatcher, Message message) throws IOException {
+        int form = message.updateForm;
+        if (form < 0 || form >= UPDATES_BY_FORM.length || !tables.has(message.bank)) {
+            throw new IOException("unknown list form or bank");
+        }
+        EndpointUpdate update = UPDATES_BY_FORM[form];
+        dispatcher.endpointsUpdated(
+                now, update, update == EndpointUpdate.FAILED ? List.of() : tables.get(message.bank));
+    }
+
+    private static Job job(ModuleOptions options, Message message) throws IOException {
+        return new Job(
+                message.jobId,
+                options.classIndex(message.className),
+                message.budgetNs,
+                message.workNs,
+                message.slots > 0 ? message.slots : 1,
+                message.memory,
+                options.marksRetries && !message.retry);
+    }
+
     private static Outcome outcome(String how) {
         return switch (how == null ? "" : how) {
             case "served" -> Outcome.SERVED;
@@ -168,55 +177,4 @@
             default -> Outcome.ERROR; // server_error, and anything unknown: it may have run
         };
     }
-
-    private void readBank() throws IOException {
-        int bank = 0;
-        List<WorkerEndpoint> rows = new ArrayList<>();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String field = in.currentName();
-            JsonToken value = in.nextToken();
-            if (field.equals("Bank")) {
-                bank = in.getIntValue();
-            } else if (field.equals("RowsIn") && value == JsonToken.START_ARRAY) {
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    expect(JsonToken.START_OBJECT);
-                    rows.add(row());
-                }
-            } else {
-                in.skipChildren();
-            }
-        }
-        expect(JsonToken.END_OBJECT);
-        if (bank < 0 || bank >= COUNT_OF_BANKS) {
-            throw new IOException("list number " + bank);
-        }
-        banks.set(bank, rows);
-    }
-
-    private WorkerEndpoint row() throws IOException {
-        long id = 0;
-        int cell = 0;
-        String zone = "";
-        String kind = "";
-        long born = 0;
-        int status = 0;
-        double weight = Double.NaN;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String field = in.currentName();
-            in.nextToken();
-            switch (field) {
-                case "Worker" -> id = in.getLongValue();
-                case "Stripe" -> cell = in.getIntValue();
-                case "Dc" -> zone = in.getText();
-                case "GenerationHw" -> kind = in.getText();
-                case "BornNs" -> born = in.getLongValue();
-                case "Rating" -> weight = in.getDoubleValue();
-                case "Status" -> status = in.getIntValue();
-                default -> in.skipChildren();
-            }
-        }
-        EndpointState state =
-                status == 1 ? EndpointState.READY : status == 2 ? EndpointState.DRAINING : EndpointState.REMOVED;
-        return new WorkerEndpoint(id, cell, zone, kind, born, state, weight);
-    }
 }
--- a/src/main/java/beechseam/sim/Message.java
+++ b/src/main/java/beechseam/sim/Message.java
@@ -6,84 +6,88 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** The fields of one message of the wire, whatever their order; absent ones keep the wire's defaults. */
+/**
+ * The fields of one message of the simulator's wire, in the dispatcher's terms; the wire's own names stand as cases of
+ * {@link #field}. Fields may come in any order, and absent ones keep the wire's defaults.
+ */
 final class Message {
-    private static final int MAX_GAUGE = 8;
+    private static final int MAX_LOAD_VALUES = 8;
 
     long simTimeNs;
-    int who;
+    int instanceId;
     long randomSeed;
     Map<?, ?> options;
-    int form;
+    int updateForm;
     int bank;
-    long corr;
-    String qos = "";
+    long jobId;
+    String className = "";
     long budgetNs;
-    long estimateNs;
-    double needs;
-    double memNeeded;
-    int leg;
+    long workNs;
+    double slots;
+    double memory;
+    int attempt;
     long worker;
     int kind;
-    double value;
+    double progress;
     boolean closed;
     boolean retry;
-    String how;
-    final double[] gauge = new double[MAX_GAUGE];
-    int gaugeSize;
+    String outcomeName;
+    final double[] loadValues = new double[MAX_LOAD_VALUES];
+    int loadValueCount;
     long tag;
 
     private Message() {}
 
     /** Reads the object that the parser stands at the start of. */
     static Message read(JsonParser in) throws IOException {
-        Message m = new Message();
+        Message message = new Message();
         String field;
         while ((field = in.nextFieldName()) != null) {
             if (in.nextToken() != JsonToken.VALUE_NULL) {
-                m.field(field, in);
+                message.field(field, in);
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
             throw new IOException("an object that does not end");
         }
-        return m;
+        return message;
     }
 
     private void field(String name, JsonParser in) throws IOException {
         switch (name) {
             case "SimTimeNs" -> simTimeNs = in.getLongValue();
-            case "Who" -> who = in.getIntValue();
+            case "Who" -> instanceId = in.getIntValue();
             case "RandomSeed" -> randomSeed = in.getNumberValue().longValue();
             case "Options" -> options = (Map<?, ?>) Json.tree(in);
-            case "Form" -> form = in.getIntValue();
+            case "Form" -> updateForm = in.getIntValue();
             case "Bank" -> bank = in.getIntValue();
-            case "Corr" -> corr = in.getLongValue();
-            case "Qos" -> qos = in.getText();
+            case "Corr" -> jobId = in.getLongValue();
+            case "Qos" -> className = in.getText();
             case "BudgetNs" -> budgetNs = in.getLongValue();
-            case "EstimateNs" -> estimateNs = in.getLongValue();
-            case "Needs" -> needs = in.getDoubleValue();
-            case "MemNeeded" -> memNeeded = in.getDoubleValue();
-            case "Leg" -> leg = in.getIntValue();
+            case "EstimateNs" -> workNs = in.getLongValue();
+            case "Needs" -> slots = in.getDoubleValue();
+            case "MemNeeded" -> memory = in.getDoubleValue();
+            case "Leg" -> attempt = in.getIntValue();
             case "Worker" -> worker = in.getLongValue();
             case "Kind" -> kind = in.getIntValue();
-            case "Value" -> value = in.getDoubleValue();
+            case "Value" -> progress = in.getDoubleValue();
             case "Retry" -> retry = in.getBooleanValue();
             case "Closed" -> closed = in.getBooleanValue();
-            case "How" -> how = in.getText();
-            case "Gauge" -> readGauge(in);
+            case "How" -> outcomeName = in.getText();
+            case "Gauge" -> readLoadValues(in);
             case "Tag" -> tag = in.getLongValue();
             default -> in.skipChildren();
         }
     }
 
-    private void readGauge(JsonParser in) throws IOException {
+    private void readLoadValues(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new IOException("a load report that is no array");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (gaugeSize < MAX_GAUGE) {
-                gauge[gaugeSize++] = in.currentToken() == JsonToken.VALUE_NULL ? Double.NaN : in.getDoubleValue();
+            if (loadValueCount < MAX_LOAD_VALUES) {
+                loadValues[loadValueCount++] =
+                        in.currentToken() == JsonToken.VALUE_NULL ? Double.NaN : in.getDoubleValue();
             }
         }
     }
--- a/src/main/java/beechseam/sim/Replies.java
+++ b/src/main/java/beechseam/sim/Replies.java
@@ -5,111 +5,121 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes actions as lines of the wire. */
+/** Writes actions as messages of the simulator's wire, a line each; the wire's names stand beside the dispatcher's. */
 final class Replies {
-    private final JsonGenerator out;
+    private final JsonGenerator generator;
 
-    Replies(JsonGenerator out) {
-        this.out = out.setRootValueSeparator(null);
+    Replies(JsonGenerator generator) {
+        this.generator = generator.setRootValueSeparator(null);
     }
 
     /** Ends a batch and sends the reply. */
     void yield() throws IOException {
-        out.writeRaw("{\"Yield\":{}}\n");
-        out.flush();
+        generator.writeRaw("{\"Yield\":{}}\n");
+        generator.flush();
     }
 
-    void bug(int who, RuntimeException e) throws IOException {
+    /** Says that an event of this instance ended with an exception, and where. */
+    void bug(int instanceId, RuntimeException e) throws IOException {
         StackTraceElement[] trace = e.getStackTrace();
-        new Line("Bug", who)
+        new Line("Bug", instanceId)
                 .text("ReasonText", e + (trace.length > 0 ? " at " + trace[0] : ""))
                 .end();
     }
 
-    DispatchActions forInstance(int who) {
-        return new DispatchActions() {
-            @Override
-            public void send(long job, long worker, long timeoutNs) {
-                new Line("HandOff", who)
-                        .number("Corr", job)
-                        .number("Worker", worker)
-                        .number("TryForNs", timeoutNs)
-                        .end();
-            }
+    /** What the dispatcher of that instance does, as messages. */
+    DispatchActions forInstance(int instanceId) {
+        return new InstanceActions(instanceId);
+    }
 
-            @Override
-            public void cancel(long job, int attempt) {
-                new Line("DropAttempt", who)
-                        .number("Corr", job)
-                        .number("Leg", attempt)
-                        .end();
-            }
+    private final class InstanceActions implements DispatchActions {
+        private final int instanceId;
 
-            @Override
-            public void shed(long job, long pauseNs) {
-                new Line("Decline", who)
-                        .number("Corr", job)
-                        .number("PauseNs", pauseNs)
-                        .end();
-            }
+        InstanceActions(int instanceId) {
+            this.instanceId = instanceId;
+        }
 
-            @Override
-            public void fail(long job) {
-                new Line("EndFailed", who).number("Corr", job).end();
-            }
+        @Override
+        public void send(long job, long worker, long timeoutNs) {
+            new Line("HandOff", instanceId)
+                    .number("Corr", job)
+                    .number("Worker", worker)
+                    .number("TryForNs", timeoutNs)
+                    .end();
+        }
 
-            @Override
-            public void healthCheck(long worker) {
-                new Line("Poll", who).number("Worker", worker).end();
-            }
+        @Override
+        public void cancel(long job, int attempt) {
+            new Line("DropAttempt", instanceId)
+                    .number("Corr", job)
+                    .number("Leg", attempt)
+                    .end();
+        }
 
-            @Override
-            public void scheduleTimer(long offsetNs, long tag) {
-                new Line("NotifyMe", who)
-                        .number("OffsetNs", offsetNs)
-                        .number("Tag", tag)
-                        .end();
-            }
+        @Override
+        public void shed(long job, long retryAfterNs) {
+            new Line("Decline", instanceId)
+                    .number("Corr", job)
+                    .number("PauseNs", retryAfterNs)
+                    .end();
+        }
 
-            @Override
-            public void watchEndpoints() {
-                new Line("Watch", who).flag("Enable").end();
-            }
+        @Override
+        public void fail(long job) {
+            new Line("EndFailed", instanceId).number("Corr", job).end();
+        }
 
-            @Override
-            public void log(String text) {
-                new Line("Remark", who).text("ReasonText", text).end();
-            }
-        };
+        @Override
+        public void healthCheck(long worker) {
+            new Line("Poll", instanceId).number("Worker", worker).end();
+        }
+
+        @Override
+        public void scheduleTimer(long offsetNs, long tag) {
+            new Line("NotifyMe", instanceId)
+                    .number("OffsetNs", offsetNs)
+                    .number("Tag", tag)
+                    .end();
+        }
+
+        @Override
+        public void watchEndpoints() {
+            new Line("Watch", instanceId).flag("Enable").end();
+        }
+
+        @Override
+        public void log(String text) {
+            new Line("Remark", instanceId).text("ReasonText", text).end();
+        }
     }
 
     /** One message under way. A write that fails ends the process: there is nobody left to answer to. */
     private final class Line {
-        Line(String name, int who) {
+        Line(String name, int instanceId) {
             write(() -> {
-                out.writeStartObject();
-                out.writeObjectFieldStart(name);
-                out.writeNumberField("Who", who);
+                generator.writeStartObject();
+                generator.writeObjectFieldStart(name);
+                generator.writeNumberField("Who", instanceId);
             });
         }
 
         Line number(String field, long value) {
-            return write(() -> out.writeNumberField(field, value));
+            return write(() -> generator.writeNumberField(field, value));
         }
 
         Line text(String field, String value) {
-            return write(() -> out.writeStringField(field, value));
+            return write(() -> generator.writeStringField(field, value));
         }
 
         Line flag(String field) {
-            return write(() -> out.writeBooleanField(field, true));
+            return write(() -> generator.writeBooleanField(field, true));
         }
 
         void end() {
             write(() -> {
-                out.writeEndObject();
-                out.writeEndObject();
-                out.writeRaw('\n');
+                generator.writeEndObject();
+                generator.writeEndObject();
+                generator.writeRaw('\n');
             });
         }
 
