--- a/src/test/java/beechseam/dispatch/DispatcherTest.java
+++ b/src/test/java/beechseam/dispatch/DispatcherTest.java
@@ -107,7 +107,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
-            names = {"REFUSED", "UNREACHABLE"})
+            names = {"REJECTED", "UNREACHABLE"})
     void whatNeverRanGoesElsewhere(Outcome outcome) {
         DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(UNSAFE)).workers(3);
         long first = rig.job(1);
@@ -124,7 +124,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
-            names = {"REFUSED", "ERROR", "LOST", "TIMEOUT", "CANCELLED"})
+            names = {"REJECTED", "ERROR", "LOST", "TIMEOUT", "CANCELLED"})
     void aBarredWorkerGetsNoFurtherAttemptOfTheJob(Outcome outcome) {
         for (boolean barred : new boolean[] {true, false}) {
             DispatcherHarness rig = new DispatcherHarness(DispatcherHarness.settings(SAFE)).workers(1);
