--- a/src/main/java/beechseam/core/Counters.java
+++ b/src/main/java/beechseam/core/Counters.java
@@ -5,49 +5,111 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** What the node has taken in, sent and answered since its start. */
+/**
+ * What the node has accepted, sent and answered since its start. Single-threaded, like the engine. {@link #toString}
+ * is the counters line that operators read, whose keys keep the names that were published for them.
+ */
 public final class Counters {
-    /** Of the jobs of one class; the sums over all are made of these. */
+    private static final String KEY_ACCEPTED = "taken";
+    private static final String KEY_ATTEMPTS_SENT = "sent";
+    private static final String KEY_ANSWERED = "answered";
+    private static final String KEY_ATTEMPTS_WRITTEN = "written";
+    private static final String KEY_SERVED = "served";
+    private static final String KEY_SHED = "shed";
+    private static final String KEY_FAILED = "failed";
+    private static final String KEY_CLIENTS_DISCONNECTED = "left";
+    private static final String KEY_HEALTH_CHECKS = "probes";
+    private static final String KEY_LATE_CALLBACKS = "late_callbacks";
+    private static final String KEY_BAD_INPUT = "bad_input";
+    private static final String KEY_WITHHELD = "withheld";
+    private static final String KEY_SILENT = "silent";
+    private static final String KEY_CROWDED_OUT = "crowded_out";
+    private static final String KEY_FAULTS = "faults";
+    private static final String KEY_OUTCOMES = "hops";
+
+    /** The jobs of one class; the sums over all are made of these. */
     public static final class ClassCounters {
-        long served;
-        long shed;
-        long failed;
-        /** Shed before the module saw them. */
+        private long served;
+        private long shed;
+        private long failed;
+
+        /** Jobs shed before the dispatcher saw them. */
         public long crowdedOut;
+
         /** Attempts written to the last byte. */
         public long written;
 
+        void recordServed() {
+            served++;
+        }
+
+        void recordShed() {
+            shed++;
+        }
+
+        void recordFailed() {
+            failed++;
+        }
+
+        /** Jobs that got a result. */
         public long answered() {
             return served;
         }
 
+        /** Jobs that were shed, whether or not the dispatcher saw them. */
         public long deferred() {
             return shed + crowdedOut;
         }
 
+        /** Jobs that were failed, with no promise about their effect. */
         public long errored() {
             return failed;
         }
+
+        private void add(ClassCounters other) {
+            served += other.served;
+            shed += other.shed;
+            failed += other.failed;
+            crowdedOut += other.crowdedOut;
+            written += other.written;
+        }
     }
 
-    private final List<ClassCounters> classes = new ArrayList<>();
+    /** Requests accepted by the engine. */
     public long requestsAccepted;
-    /** Attempts that the module has decided on. */
+
+    /** Attempts that the dispatcher has decided on. */
     public long attemptsSent;
 
+    /** Requests whose client disconnected before the final answer. */
     public long clientsDisconnected;
-    public long healthChecks;
+
+    /** Callbacks for which no attempt was waiting any more. */
     public long lateCallbacks;
+
+    /** Requests and callbacks rejected for their form. */
     public long badInput;
+
+    /** Attempts that were decided on and not sent, though their client still waited. */
     public long withheld;
-    /** Attempts whose connection fell silent before the target had taken them. */
+
+    /** Attempts whose connection fell silent before the target had acknowledged them. */
     public long silent;
 
+    /** Events that ended in an exception. */
     public long faults;
+
+    /** Configurations loaded. */
     public long confLoaded;
+
+    /** Configurations rejected as invalid. */
     public long confInvalid;
-    private final long[] ended = new long[Outcome.values().length];
 
+    private final List<ClassCounters> classes = new ArrayList<>();
+    private final long[] outcomes = new long[Outcome.values().length];
+    private long healthChecks;
+
+    /** The counters of a class, by its place in the settings; made at the first use. */
     public ClassCounters of(int jobClass) {
         while (classes.size() <= jobClass) {
             classes.add(new ClassCounters());
@@ -59,37 +121,35 @@
         return classes.stream().mapToLong(figure).sum();
     }
 
+    /** Jobs that got a result, over all classes. */
     public long served() {
-        return sum(c -> c.served);
+        return sum(each -> each.served);
     }
 
+    /** Jobs shed after the engine accepted them, over all classes. */
     public long shed() {
-        return sum(c -> c.shed);
+        return sum(each -> each.shed);
     }
 
+    /** Jobs failed with no promise about their effect, over all classes. */
     public long failed() {
-        return sum(c -> c.failed);
+        return sum(each -> each.failed);
     }
 
+    /** Jobs shed before the dispatcher saw them, over all classes. */
     public long crowdedOut() {
-        return sum(c -> c.crowdedOut);
+        return sum(each -> each.crowdedOut);
     }
 
-    /** Jobs taken and not yet ended, whatever attempts they still have out. */
+    /** Jobs accepted that have no final answer yet, whatever attempts are still in flight. */
     public long current() {
         return requestsAccepted - served() - shed() - failed() - clientsDisconnected;
     }
 
-    /** Counts all that another has counted as well, class by class. */
+    /** Adds all that another has counted, class by class. */
     public void add(Counters other) {
         for (int i = 0; i < other.classes.size(); i++) {
-            ClassCounters to = of(i);
-            ClassCounters from = other.classes.get(i);
-            to.served += from.served;
-            to.shed += from.shed;
-            to.failed += from.failed;
-            to.crowdedOut += from.crowdedOut;
-            to.written += from.written;
+            of(i).add(other.classes.get(i));
         }
         requestsAccepted += other.requestsAccepted;
         attemptsSent += other.attemptsSent;
@@ -102,63 +162,58 @@
         faults += other.faults;
         confLoaded += other.confLoaded;
         confInvalid += other.confInvalid;
-        for (int i = 0; i < ended.length; i++) {
-            ended[i] += other.ended[i];
+        for (int i = 0; i < outcomes.length; i++) {
+            outcomes[i] += other.outcomes[i];
         }
     }
 
-    void count(Outcome outcome) {
-        ended[outcome.ordinal()]++;
+    void recordHealthCheck() {
+        healthChecks++;
+    }
+
+    void recordOutcome(Outcome outcome) {
+        outcomes[outcome.ordinal()]++;
     }
 
-    public long ended(Outcome... outcomes) {
+    /** Attempts that ended with one of these outcomes. */
+    public long ended(Outcome... wanted) {
         long sum = 0;
-        for (Outcome o : outcomes) {
-            sum += ended[o.ordinal()];
+        for (Outcome outcome : wanted) {
+            sum += outcomes[outcome.ordinal()];
         }
         return sum;
     }
 
-    /** One line of JSON. */
+    /** The counters line: one line of JSON, its keys always in the same order. */
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder("{\"taken\":")
-                .append(requestsAccepted)
-                .append(",\"sent\":")
-                .append(attemptsSent)
-                .append(",\"answered\":")
-                .append(served() + shed() + failed())
-                .append(",\"written\":")
-                .append(sum(c -> c.written))
-                .append(",\"served\":")
-                .append(served())
-                .append(",\"shed\":")
-                .append(shed())
-                .append(",\"failed\":")
-                .append(failed())
-                .append(",\"left\":")
-                .append(clientsDisconnected)
-                .append(",\"probes\":")
-                .append(healthChecks)
-                .append(",\"late_callbacks\":")
-                .append(lateCallbacks)
-                .append(",\"bad_input\":")
-                .append(badInput)
-                .append(",\"withheld\":")
-                .append(withheld)
-                .append(",\"silent\":")
-                .append(silent)
-                .append(",\"crowded_out\":")
-                .append(crowdedOut())
-                .append(",\"faults\":")
-                .append(faults)
-                .append(",\"hops\":{");
-        for (Outcome o : Outcome.values()) {
-            s.append(o.ordinal() == 0 ? "\"" : ",\"")
-                    .append(o.counterName())
-                    .append("\":")
-                    .append(ended[o.ordinal()]);
+        StringBuilder json = new StringBuilder("{");
+        append(json, KEY_ACCEPTED, requestsAccepted);
+        append(json, KEY_ATTEMPTS_SENT, attemptsSent);
+        append(json, KEY_ANSWERED, served() + shed() + failed());
+        append(json, KEY_ATTEMPTS_WRITTEN, sum(each -> each.written));
+        append(json, KEY_SERVED, served());
+        append(json, KEY_SHED, shed());
+        append(json, KEY_FAILED, failed());
+        append(json, KEY_CLIENTS_DISCONNECTED, clientsDisconnected);
+        append(json, KEY_HEALTH_CHECKS, healthChecks);
+        append(json, KEY_LATE_CALLBACKS, lateCallbacks);
+        append(json, KEY_BAD_INPUT, badInput);
+        append(json, KEY_WITHHELD, withheld);
+        append(json, KEY_SILENT, silent);
+        append(json, KEY_CROWDED_OUT, crowdedOut());
+        append(json, KEY_FAULTS, faults);
+        json.append(",\"").append(KEY_OUTCOMES).append("\":{");
+        for (Outcome outcome : Outcome.values()) {
+            append(json, outcome.counterName(), outcomes[outcome.ordinal()]);
+        }
+        return json.append("}}").toString();
+    }
+
+    private static void append(StringBuilder json, String key, long value) {
+        if (json.charAt(json.length() - 1) != '{') {
+            json.append(',');
         }
-        return s.append("}}").toString();
+        json.append('"').append(key).append("\":").append(value);
     }
 }
--- a/src/main/java/beechseam/core/DeferredWork.java
+++ b/src/main/java/beechseam/core/DeferredWork.java
@@ -10,55 +10,58 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** What waits for the {@link SendGate} to open, in order of arrival. */
+/** What waits for the {@link SendGate} to open, in order of arrival. A health check of a target waits but once. */
 final class DeferredWork {
-    private record DeferredJob(Request request, Job job) {}
+    private record DeferredRequest(Request request, Job job) {}
 
-    private final ArrayDeque<DeferredJob> jobs = new ArrayDeque<>();
+    private final ArrayDeque<DeferredRequest> requests = new ArrayDeque<>();
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
-    private final Set<Long> probes = new LinkedHashSet<>();
+    private final Set<Long> healthChecks = new LinkedHashSet<>();
 
-    /** A request that the module has not been offered. */
-    void add(Request request, Job job) {
+    /** Defers a request that the dispatcher has not been offered. */
+    void deferRequest(Request request, Job job) {
         request.deferred = true;
-        jobs.add(new DeferredJob(request, job));
+        requests.add(new DeferredRequest(request, job));
     }
 
-    /** An attempt that the module has decided on and that has not begun. */
-    void add(Attempt attempt) {
+    /** Defers an attempt that the dispatcher has decided on and that has not begun. */
+    void deferAttempt(Attempt attempt) {
         attempt.deferred = true;
         attempts.add(attempt);
     }
 
-    /** A probe of the target that has not been sent. */
-    void add(long probedTarget) {
-        probes.add(probedTarget);
+    /** Defers a health check of the target. */
+    void deferHealthCheck(long target) {
+        healthChecks.add(target);
     }
 
     boolean isEmpty() {
-        return jobs.isEmpty() && attempts.isEmpty() && probes.isEmpty();
+        return requests.isEmpty() && attempts.isEmpty() && healthChecks.isEmpty();
     }
 
-    /** Hands on all that waits now; what is added meanwhile waits for the next call. */
-    void release(BiConsumer<Request, Job> toModule, Consumer<Attempt> toEgress, LongConsumer toProbe) {
-        List<DeferredJob> dueJobs = new ArrayList<>(jobs);
+    /**
+     * Hands on all that waits now, attempts first, but for what has ended or has its answer; what is deferred
+     * meanwhile waits for the next call.
+     */
+    void release(BiConsumer<Request, Job> toDispatcher, Consumer<Attempt> toEgress, LongConsumer toHealthCheck) {
+        List<DeferredRequest> dueRequests = new ArrayList<>(requests);
         List<Attempt> dueAttempts = new ArrayList<>(attempts);
-        List<Long> dueProbes = new ArrayList<>(probes);
-        jobs.clear();
+        List<Long> dueHealthChecks = new ArrayList<>(healthChecks);
+        requests.clear();
         attempts.clear();
-        probes.clear();
-        for (Attempt each : dueAttempts) {
-            each.deferred = false;
-            if (!each.ended) {
-                toEgress.accept(each);
+        healthChecks.clear();
+        for (Attempt attempt : dueAttempts) {
+            attempt.deferred = false;
+            if (!attempt.ended) {
+                toEgress.accept(attempt);
             }
         }
-        for (DeferredJob each : dueJobs) {
+        for (DeferredRequest each : dueRequests) {
             each.request.deferred = false;
             if (!each.request.finished) {
-                toModule.accept(each.request, each.job);
+                toDispatcher.accept(each.request, each.job);
             }
         }
-        dueProbes.forEach(toProbe::accept);
+        dueHealthChecks.forEach(toHealthCheck::accept);
     }
 }
--- a/src/main/java/beechseam/core/Egress.java
+++ b/src/main/java/beechseam/core/Egress.java
@@ -5,21 +5,27 @@
  * that fails at once, but for those cancelled.
  */
 public interface Egress {
+    /**
+     * Sends the attempt to its target. {@link Engine#tryBegin} must be asked just before its first byte. An attempt
+     * that had to wait there for the {@link SendGate} is handed over again.
+     */
     void send(Attempt attempt);
 
-    /** The node no longer waits for the attempt; nothing more is owed for it. */
+    /** Gives the attempt up: its end is decided, and nothing more is owed for it. */
     void cancel(Attempt attempt);
 
     /**
-     * Takes back an attempt whose request goes on, and may have but one attempt out. True: it is given up as
-     * by {@link #cancel}. False: its end, CANCELLED or what it came to meanwhile, is still owed to
-     * {@link Engine#attemptEnded}, so that no other is sent while the target may hold this one.
+     * Recalls an attempt whose request goes on, and may have but one attempt in flight.
+     *
+     * @return true when it is given up as by {@link #cancel}; false when its end, CANCELLED or what it came to
+     *     meanwhile, is still owed to {@link Engine#attemptEnded}, so that no other is sent while the target may
+     *     hold this one
      */
     default boolean recall(Attempt attempt) {
         cancel(attempt);
         return true;
     }
 
-    /** Ask the target for its load; {@link Engine#healthCheckCompleted} is owed once. */
+    /** Asks the target for its load; {@link Engine#healthCheckCompleted} is owed once. */
     void healthCheck(long target);
 }
--- /dev/null
+++ b/src/main/java/beechseam/core/EngineContext.java
@@ -0,0 +1,58 @@
+package beechseam.core;
+
+import beechseam.dispatch.DispatchActions;
+import beechseam.dispatch.DispatchLimits;
+import beechseam.dispatch.DispatchSettings;
+import beechseam.dispatch.Dispatcher;
+import java.util.function.LongSupplier;
+
+/**
+ * What the parts of one engine share. The dispatcher is the last to be set, as it acts from its constructor on and
+ * needs the parts for that.
+ */
+final class EngineContext {
+    final Timers timers;
+    final Egress egress;
+    final Counters counters;
+    final DispatchLimits limits;
+    final EventQueue events;
+    final RouteTable routes = new RouteTable();
+    final RequestTable requests;
+    final DeferredWork deferredWork = new DeferredWork();
+
+    private final LongSupplier clock;
+    private SendGate sendGate = SendGate.ALWAYS_OPEN;
+    private Dispatcher dispatcher;
+
+    EngineContext(LongSupplier clock, Timers timers, Egress egress, Counters counters, DispatchLimits limits) {
+        this.clock = clock;
+        this.timers = timers;
+        this.egress = egress;
+        this.counters = counters;
+        this.limits = limits;
+        events = new EventQueue(counters);
+        requests = new RequestTable(timers);
+    }
+
+    /** Creates the dispatcher; what its constructor brings about waits for the first event. */
+    void createDispatcher(DispatchSettings settings, long seed, DispatchActions actions) {
+        dispatcher = events.createWithEventsHeld(() -> new Dispatcher(now(), settings, seed, actions));
+    }
+
+    Dispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    SendGate sendGate() {
+        return sendGate;
+    }
+
+    void useSendGate(SendGate gate) {
+        sendGate = gate;
+    }
+
+    /** The host's clock, in nanoseconds. */
+    long now() {
+        return clock.getAsLong();
+    }
+}
--- a/src/main/java/beechseam/core/SendGate.java
+++ b/src/main/java/beechseam/core/SendGate.java
@@ -5,7 +5,7 @@
  * before an attempt's first byte; what may not go yet waits until {@link Engine#resumeDeferred}.
  */
 public interface SendGate {
-    /** For hosts whose route table is always current. */
+    /** The gate of hosts whose route table is always current. */
     SendGate ALWAYS_OPEN = new SendGate() {
         @Override
         public boolean open() {
@@ -18,9 +18,9 @@
         }
     };
 
-    /** Whether requests may be sent now. May take in news of the route table first. */
+    /** Whether requests may be sent now. May first apply pending updates of the route table to the engine. */
     boolean open();
 
-    /** Nanoseconds until it opens at the latest, as far as is known; 0 where it is open. */
+    /** How long until it opens at the latest, as far as is known, in nanoseconds; 0 where it is open. */
     long opensWithinNs();
 }
--- a/src/main/java/beechseam/core/Timer.java
+++ b/src/main/java/beechseam/core/Timer.java
@@ -1,34 +1,56 @@
 package beechseam.core;
 
-/** Something that happens at a time; it is its own handle, armed at most once at a time. */
+/**
+ * An action at a time of the clock. It is its own handle: {@link Timers} arms and cancels it, and it can be armed
+ * again once it has fired. Timers are ordered by their time, and those of one time by the order in which they were
+ * set.
+ */
 public abstract class Timer implements Comparable<Timer> {
     private long due;
     private long order;
     private boolean armed;
 
-    /** Its time has come. */
+    /** A timer that runs the action. */
+    static Timer running(Runnable action) {
+        return new Timer() {
+            @Override
+            protected void fire() {
+                action.run();
+            }
+        };
+    }
+
+    /** What to do at its time. The timer is no longer armed by then. */
     protected abstract void fire();
 
-    /** For the loop that finds it due. */
+    /** Fires it; called by the loop that finds it due. */
     public final void run() {
         fire();
     }
 
+    /** The time it was last armed for, by the clock, in nanoseconds. */
     public final long due() {
         return due;
     }
 
+    /** Whether it has been armed and has neither fired nor been cancelled since. */
     public final boolean armed() {
         return armed;
     }
 
-    /** For the queue that holds it; {@code mark} tells apart those of one time. */
-    public final void arm(long at, long mark) {
+    /**
+     * Arms it; called by the queue that holds it.
+     *
+     * @param at       its time, by the clock, in nanoseconds
+     * @param sequence a number that no other timer of the queue has, which orders those of one time
+     */
+    public final void arm(long at, long sequence) {
         due = at;
-        order = mark;
+        order = sequence;
         armed = true;
     }
 
+    /** Disarms it; called by the queue that no longer holds it. */
     public final void disarm() {
         armed = false;
     }
