--- a/src/test/java/beechseam/core/EngineTest.java
+++ b/src/test/java/beechseam/core/EngineTest.java
@@ -2,423 +2,289 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import beechseam.dispatch.DeduplicationScope;
-import beechseam.dispatch.DispatchLimits;
-import beechseam.dispatch.DispatchSettings;
 import beechseam.dispatch.EndpointState;
 import beechseam.dispatch.EndpointUpdate;
 import beechseam.dispatch.Idempotency;
-import beechseam.dispatch.JobClass;
 import beechseam.dispatch.LoadReport;
-import beechseam.dispatch.LoadReportSource;
 import beechseam.dispatch.Outcome;
 import beechseam.dispatch.WorkerEndpoint;
-import beechseam.dispatch.WorkerRules;
-import beechseam.net.TimerQueue;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The core between a front and an egress that do anything at any time, against the rules it must keep. */
+/** The engine between a front end and an egress that do anything at any time, against its invariants. */
 class EngineTest {
-    private static final long MS = 1_000_000L;
-    private static final long S = 1000 * MS;
+    private static final long MS = EngineHarness.MS;
+    private static final long S = EngineHarness.S;
 
-    /** A gate that the test opens and closes. */
-    private static final class TestGate implements SendGate {
-        boolean open = true;
-
-        @Override
-        public boolean open() {
-            return open;
+    @Property(seed = "20261201", tries = 300)
+    void everyRequestGetsOneAnswerBeforeItsDeadlineUnderRandomEvents(
+            @ForAll long seed, @ForAll @IntRange(min = 0, max = 2) int idempotency) {
+        EngineHarness harness = new EngineHarness(Idempotency.values()[idempotency]);
+        Random random = new Random(seed);
+        List<Request> disconnected = new ArrayList<>();
+        for (int step = 0; step < 120; step++) {
+            randomEvent(harness, random, disconnected);
         }
-
-        @Override
-        public long opensWithinNs() {
-            return open ? 0 : 700 * MS;
+        harness.advance(6 * S);
+        for (Request request : harness.accepted) {
+            assertNotEquals(
+                    disconnected.contains(request),
+                    harness.answers.containsKey(request),
+                    "answered, or its client disconnected");
         }
+        assertEquals(0, harness.engine.openRequests(), "settled requests are removed");
+        assertEquals(0, harness.counters.faults);
+        assertEquals(harness.counters.requestsAccepted, harness.answers.size() + disconnected.size());
     }
 
-    /** A host whose clock and wires the test moves by hand. */
-    private static final class World implements Egress, Ingress {
-        final TimerQueue timers = new TimerQueue();
-        final Counters counters = new Counters();
-        final List<Attempt> out = new ArrayList<>();
-        final List<Request> taken = new ArrayList<>();
-        final Map<Request, String> answers = new HashMap<>();
-        final Engine engine;
-        long now = 1_700_000_000L * S;
-        final List<Long> probed = new ArrayList<>();
-        final TestGate gate = new TestGate();
-        boolean failAtOnce;
-        boolean sending;
-
-        World(Idempotency effect) {
-            this(effect, 400 * MS, 0);
-        }
-
-        World(Idempotency effect, long aimNs, double lateWorth) {
-            JobClass jobs =
-                    new JobClass("c", aimNs, 4 * S, 2, 1, lateWorth, effect, DeduplicationScope.CELL, 2 * S, null);
-            engine = new Engine(
-                    new DispatchSettings(
-                            List.of(jobs),
-                            new DispatchLimits(4, S, true, true, false, true, 10 * S),
-                            new WorkerRules(300 * MS, 8 * S, 0.25, 8 * S, 3, S, false),
-                            LoadReportSource.ANSWERS,
-                            false,
-                            1,
-                            0,
-                            "z",
-                            true,
-                            S,
-                            0.05,
-                            0,
-                            0,
-                            false),
-                    5,
-                    () -> now,
-                    timers,
-                    this,
-                    counters);
-            engine.useSendGate(gate);
-            list(3, EndpointState.READY);
-        }
-
-        void list(int count, EndpointState state) {
-            List<WorkerEndpoint> lines = new ArrayList<>();
-            for (int i = 1; i <= count; i++) {
-                lines.add(new WorkerEndpoint(i, i % 2, "z", "k", 0, i == 1 ? state : EndpointState.READY));
+    private static void randomEvent(EngineHarness harness, Random random, List<Request> disconnected) {
+        Attempt attempt =
+                harness.inFlight.isEmpty() ? null : harness.inFlight.get(random.nextInt(harness.inFlight.size()));
+        switch (random.nextInt(10)) {
+            case 9 -> {
+                harness.gate.open = !harness.gate.open;
+                harness.engine.resumeDeferred();
             }
-            engine.updateEndpoints(EndpointUpdate.SNAPSHOT, lines);
-        }
-
-        Request take(String name) {
-            Request r = engine.submit(name, 0, 4 * S, 1, 0, "message", this);
-            if (r != null) {
-                taken.add(r);
-            }
-            return r;
-        }
-
-        void pass(long ns) {
-            long until = now + ns;
-            while (timers.untilNext(now, until - now) < until - now || timers.untilNext(now, 1) == 0) {
-                now += timers.untilNext(now, until - now);
-                timers.due(now).run();
-            }
-            now = until;
-        }
-
-        @Override
-        public void send(Attempt attempt) {
-            assertTrue(gate.open, "sent though the gate is closed");
-            assertFalse(attempt.request.finished(), "sent after the final answer");
-            assertTrue(engine.routeTable().acceptsNewWork(attempt.target), "sent to a target that is not in service");
-            assertNull(answers.get(attempt.request));
-            assertFalse(sending, "the module was entered while it acts");
-            if (failAtOnce) { // the way a refused connect on loopback reports itself
-                sending = true;
-                engine.attemptEnded(attempt, Outcome.UNREACHABLE, null, null);
-                sending = false;
-            } else {
-                attempt.begun();
-                out.add(attempt);
-            }
-        }
-
-        @Override
-        public void cancel(Attempt attempt) {
-            assertTrue(out.remove(attempt), "cancelled a hop that is not out");
-        }
-
-        @Override
-        public void healthCheck(long target) {
-            assertTrue(gate.open, "probed though the gate is closed");
-            probed.add(target);
-            engine.healthCheckCompleted(target, false, null);
-        }
-
-        private void answer(Request r, String how) {
-            assertTrue(now < r.deadlineAt, "too late for the client");
-            assertNull(answers.put(r, how), "a second final answer");
-        }
-
-        @Override
-        public void served(Request r, byte[] result) {
-            answer(r, "served " + new String(result));
-        }
-
-        @Override
-        public void shed(Request r, long pauseNs) {
-            answer(r, "shed " + pauseNs);
-        }
-
-        @Override
-        public void failed(Request r, String why) {
-            answer(r, "failed");
-        }
-    }
-
-    @Property(seed = "20261201", tries = 300)
-    void everyRequestGetsOneAnswerInTimeWhateverTheWiresDo(
-            @ForAll long seed, @ForAll @IntRange(min = 0, max = 2) int effect) {
-        World w = new World(Idempotency.values()[effect]);
-        Random random = new Random(seed);
-        List<Request> left = new ArrayList<>();
-        for (int step = 0; step < 120; step++) {
-            Attempt attempt = w.out.isEmpty() ? null : w.out.get(random.nextInt(w.out.size()));
-            switch (random.nextInt(10)) {
-                case 9 -> {
-                    w.gate.open = !w.gate.open;
-                    w.engine.resumeDeferred();
-                }
-                case 0, 1 -> w.take("r" + random.nextInt(200));
-                case 2 -> w.pass(random.nextInt(300) * MS);
-                case 3 -> w.list(1 + random.nextInt(3), EndpointState.values()[random.nextInt(2)]);
-                case 4 -> w.failAtOnce = random.nextInt(4) == 0;
-                case 5 -> {
-                    if (!w.taken.isEmpty()) {
-                        Request r = w.taken.get(random.nextInt(w.taken.size()));
-                        if (!r.finished()) {
-                            left.add(r);
-                        }
-                        w.engine.clientDisconnected(r);
+            case 0, 1 -> harness.submit("r" + random.nextInt(200));
+            case 2 -> harness.advance(random.nextInt(300) * MS);
+            case 3 -> harness.listTargets(1 + random.nextInt(3), EndpointState.values()[random.nextInt(2)]);
+            case 4 -> harness.failAtOnce = random.nextInt(4) == 0;
+            case 5 -> {
+                if (!harness.accepted.isEmpty()) {
+                    Request request = harness.accepted.get(random.nextInt(harness.accepted.size()));
+                    if (!request.finished()) {
+                        disconnected.add(request);
                     }
+                    harness.engine.clientDisconnected(request);
                 }
-                case 6 -> {
-                    if (attempt != null) {
-                        w.engine.attemptStarted(attempt);
-                        w.engine.attemptProgressed(attempt, random.nextDouble());
-                    }
+            }
+            case 6 -> {
+                if (attempt != null) {
+                    harness.engine.attemptStarted(attempt);
+                    harness.engine.attemptProgressed(attempt, random.nextDouble());
                 }
-                default -> {
-                    if (attempt != null) {
-                        Outcome[] all = {Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED, Outcome.LOST};
-                        w.out.remove(attempt);
-                        Outcome how = all[random.nextInt(all.length)];
-                        w.engine.attemptEnded(attempt, how, new byte[0], new LoadReport(1, 0, 3, Double.NaN, 0.2));
-                        w.engine.attemptEnded(attempt, Outcome.SERVED, new byte[0], null); // told twice: passed over
-                    }
+            }
+            default -> {
+                if (attempt != null) {
+                    Outcome[] outcomes = {Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED, Outcome.LOST};
+                    harness.inFlight.remove(attempt);
+                    Outcome outcome = outcomes[random.nextInt(outcomes.length)];
+                    harness.engine.attemptEnded(
+                            attempt, outcome, new byte[0], new LoadReport(1, 0, 3, Double.NaN, 0.2));
+                    harness.engine.attemptEnded(attempt, Outcome.SERVED, new byte[0], null); // reported twice: ignored
                 }
             }
         }
-        w.pass(6 * S);
-        for (Request r : w.taken) {
-            assertNotEquals(left.contains(r), w.answers.containsKey(r), "answered, or its client left");
-        }
-        assertEquals(0, w.engine.openRequests(), "nothing is kept of what is over");
-        assertEquals(0, w.counters.faults);
-        assertEquals(w.counters.requestsAccepted, w.answers.size() + left.size());
     }
 
-    /** A connect refused within the send must not enter the module while it acts. */
+    /** A connect refused within the send must not enter the dispatcher while it acts. */
     @Test
-    void anEndWithinTheSendWaitsForTheModule() {
-        World w = new World(Idempotency.NON_IDEMPOTENT);
-        w.failAtOnce = true;
-        Request r = w.take("a");
-        w.pass(4 * S);
-        assertTrue(w.answers.get(r).startsWith("shed"), "it never ran: a further try is harmless");
-        assertEquals(0, w.counters.faults);
-        assertEquals(w.counters.attemptsSent, w.counters.ended(Outcome.UNREACHABLE));
+    void attemptEndingWithinSendIsQueuedUntilDispatcherReturns() {
+        EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
+        harness.failAtOnce = true;
+        Request request = harness.submit("a");
+        harness.advance(4 * S);
+        assertTrue(harness.answers.get(request).startsWith("shed"), "it never ran: a further try is harmless");
+        assertEquals(0, harness.counters.faults);
+        assertEquals(harness.counters.attemptsSent, harness.counters.ended(Outcome.UNREACHABLE));
     }
 
-    /** The module sends without a time-out: the host owes the end, in time for an answer. */
+    /** The dispatcher sends without a time-out: the host owes the end, in time for an answer. */
     @Test
-    void silenceEndsAsTimeoutBeforeTheClientGivesUp() {
-        World w = new World(Idempotency.NON_IDEMPOTENT);
-        Request r = w.take("a");
-        w.pass(4 * S - 26 * MS);
-        assertNull(w.answers.get(r));
-        w.pass(2 * MS);
-        assertEquals("failed", w.answers.get(r), "it may have run");
-        assertEquals(1, w.counters.ended(Outcome.TIMEOUT));
+    void silentAttemptTimesOutBeforeClientDeadline() {
+        EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
+        Request request = harness.submit("a");
+        harness.advance(4 * S - 26 * MS);
+        assertNull(harness.answers.get(request));
+        harness.advance(2 * MS);
+        assertEquals("failed", harness.answers.get(request), "it may have run");
+        assertEquals(1, harness.counters.ended(Outcome.TIMEOUT));
     }
 
-    /** An attempt may wait for a connection until the time in which its request may be repeated is over. */
+    /** An attempt may wait for a connection until the time in which its request may be retried is over. */
     @Test
-    void aRepeatThatHasWaitedPastTheWindowDoesNotBegin() {
-        World w = new World(Idempotency.KEYED);
-        w.engine.updateEndpoints(
+    void retryDelayedPastIdempotencyWindowDoesNotBegin() {
+        EngineHarness harness = new EngineHarness(Idempotency.KEYED);
+        harness.engine.updateEndpoints(
                 EndpointUpdate.SNAPSHOT,
                 List.of(
                         new WorkerEndpoint(1, 0, "z", "k", 0, EndpointState.READY),
                         new WorkerEndpoint(2, 0, "z", "k", 0, EndpointState.READY)));
-        Request r = w.take("a");
-        Attempt first = w.out.remove(0);
-        assertTrue(w.engine.tryBegin(first));
-        w.engine.attemptEnded(first, Outcome.LOST, null, null);
-        Attempt second = w.out.get(0);
-        w.pass(1840 * MS);
-        assertTrue(w.engine.tryBegin(second), "the window is 2 s, less 150 ms between the clock and the write");
-        w.pass(11 * MS);
-        w.out.remove(second);
-        assertFalse(w.engine.tryBegin(second));
+        Request request = harness.submit("a");
+        Attempt first = harness.inFlight.remove(0);
+        assertTrue(harness.engine.tryBegin(first));
+        harness.engine.attemptEnded(first, Outcome.LOST, null, null);
+        Attempt second = harness.inFlight.get(0);
+        harness.advance(1840 * MS);
+        assertTrue(harness.engine.tryBegin(second), "the window is 2 s, less 150 ms between the clock and the write");
+        harness.advance(11 * MS);
+        harness.inFlight.remove(second);
+        assertFalse(harness.engine.tryBegin(second));
         assertTrue(second.hasEnded());
-        w.pass(4 * S);
-        assertEquals("failed", w.answers.get(r), "it may have run");
-        assertEquals(1, w.counters.withheld);
+        harness.advance(4 * S);
+        assertEquals("failed", harness.answers.get(request), "it may have run");
+        assertEquals(1, harness.counters.withheld);
     }
 
-    /** The window is that of repeats: one that waits for long and repeats nothing may begin. */
+    /** The window is that of retries: one that waits for long and retries nothing may begin. */
     @Test
-    void aFirstAttemptMayBeginPastTheWindow() {
-        World w = new World(Idempotency.KEYED);
-        w.take("a");
-        Attempt first = w.out.get(0);
-        w.pass(2100 * MS);
-        assertTrue(w.engine.tryBegin(first));
+    void firstAttemptMayBeginPastIdempotencyWindow() {
+        EngineHarness harness = new EngineHarness(Idempotency.KEYED);
+        harness.submit("a");
+        Attempt first = harness.inFlight.get(0);
+        harness.advance(2100 * MS);
+        assertTrue(harness.engine.tryBegin(first));
     }
 
-    /** Held to the end by the module, whose ticks fall anywhere before the deadline. */
+    /** Queued to the end by the dispatcher, whose ticks fall anywhere before the deadline. */
     @Property(seed = "41", tries = 60)
-    void whatWasNeverForwardedIsRefusedAndNotFailed(
-            @ForAll Idempotency effect, @ForAll @IntRange(min = 0, max = 40) int phaseMs) {
-        World w = new World(effect, 100 * MS, 0.5);
-        w.list(0, EndpointState.READY);
-        w.take("first");
-        w.pass(phaseMs * MS);
-        Request r = w.take("a");
-        w.pass(4 * S);
-        assertEquals("shed " + S, w.answers.get(r));
+    void requestNeverSentIsShedAtDeadlineNotFailed(
+            @ForAll Idempotency idempotency, @ForAll @IntRange(min = 0, max = 40) int phaseMs) {
+        EngineHarness harness = new EngineHarness(idempotency, 100 * MS, 0.5);
+        harness.listTargets(0, EndpointState.READY);
+        harness.submit("first");
+        harness.advance(phaseMs * MS);
+        Request request = harness.submit("a");
+        harness.advance(4 * S);
+        assertEquals("shed " + S, harness.answers.get(request));
     }
 
     /** Its answer is given, or its target drains, while an attempt waits: it does not begin. */
     @Test
-    void aHopThatNobodyNeedsOrWhoseTargetDrainsDoesNotBegin() {
-        World w = new World(Idempotency.IDEMPOTENT);
-        w.take("a");
-        Attempt drained = w.out.remove(0);
-        w.list(0, EndpointState.READY);
-        assertFalse(w.engine.tryBegin(drained));
-        w.list(3, EndpointState.READY);
-        Request r = w.take("b");
-        Attempt unwanted =
-                w.out.stream().filter(each -> each.request == r).findFirst().orElseThrow();
-        r.finished = true;
-        assertFalse(w.engine.tryBegin(unwanted));
+    void unwantedAttemptOrAttemptToDrainingTargetDoesNotBegin() {
+        EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
+        harness.submit("a");
+        Attempt drained = harness.inFlight.remove(0);
+        harness.listTargets(0, EndpointState.READY);
+        assertFalse(harness.engine.tryBegin(drained));
+        harness.listTargets(3, EndpointState.READY);
+        Request request = harness.submit("b");
+        Attempt unwanted = harness.inFlight.stream()
+                .filter(each -> each.request == request)
+                .findFirst()
+                .orElseThrow();
+        request.finished = true;
+        assertFalse(harness.engine.tryBegin(unwanted));
         assertTrue(drained.hasEnded() && unwanted.hasEnded());
     }
 
-    // ---- The send gate
-
     @Test
-    void requestsWaitForTheGateAndGoInOrderWithTheTimeThatIsLeft() {
-        World w = new World(Idempotency.IDEMPOTENT);
-        w.gate.open = false;
-        Request first = w.take("a");
-        Request second = w.take("b");
-        w.pass(300 * MS);
-        assertEquals(0, w.counters.attemptsSent);
-        assertEquals(2, w.engine.openRequests());
-        w.gate.open = true;
-        w.engine.resumeDeferred();
+    void requestsDeferredBySendGateResumeInOrderWithRemainingBudget() {
+        EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
+        harness.gate.open = false;
+        Request first = harness.submit("a");
+        Request second = harness.submit("b");
+        harness.advance(300 * MS);
+        assertEquals(0, harness.counters.attemptsSent);
+        assertEquals(2, harness.engine.openRequests());
+        harness.gate.open = true;
+        harness.engine.resumeDeferred();
         assertEquals(
-                List.of(first, second), w.out.stream().map(each -> each.request).toList());
-        w.pass(4 * S);
-        assertTrue(w.answers.containsKey(first) && w.answers.containsKey(second));
+                List.of(first, second),
+                harness.inFlight.stream().map(each -> each.request).toList());
+        harness.advance(4 * S);
+        assertTrue(harness.answers.containsKey(first) && harness.answers.containsKey(second));
     }
 
-    /** Nothing of it was sent: it is refused, with the time until the gate opens, and not failed. */
+    /** Nothing of it was sent: it is shed, with the time until the gate opens, and not failed. */
     @Test
-    void aRequestWhoseTimePassesAtTheGateIsRefusedWithWhenToComeBack() {
-        World w = new World(Idempotency.NON_IDEMPOTENT);
-        w.gate.open = false;
-        Request r = w.take("a");
-        w.pass(4 * S - 26 * MS);
-        assertNull(w.answers.get(r));
-        w.pass(2 * MS);
-        assertEquals("shed " + 700 * MS, w.answers.get(r));
-        assertEquals(0, w.engine.openRequests());
-        w.gate.open = true;
-        w.engine.resumeDeferred();
-        assertEquals(0, w.counters.attemptsSent);
+    void requestExpiringAtSendGateIsShedWithRetryAfter() {
+        EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
+        harness.gate.open = false;
+        Request request = harness.submit("a");
+        harness.advance(4 * S - 26 * MS);
+        assertNull(harness.answers.get(request));
+        harness.advance(2 * MS);
+        assertEquals("shed " + 700 * MS, harness.answers.get(request));
+        assertEquals(0, harness.engine.openRequests());
+        harness.gate.open = true;
+        harness.engine.resumeDeferred();
+        assertEquals(0, harness.counters.attemptsSent);
     }
 
     @Test
-    void aRequestWhoseClientLeavesAtTheGateIsForgotten() {
-        World w = new World(Idempotency.IDEMPOTENT);
-        w.gate.open = false;
-        Request r = w.take("a");
-        w.engine.clientDisconnected(r);
-        assertEquals(0, w.engine.openRequests());
-        w.gate.open = true;
-        w.engine.resumeDeferred();
-        assertEquals(0, w.counters.attemptsSent);
-        assertNotNull(w.take("a"), "its name is free");
+    void requestDeferredBySendGateIsRemovedOnClientDisconnect() {
+        EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
+        harness.gate.open = false;
+        Request request = harness.submit("a");
+        harness.engine.clientDisconnected(request);
+        assertEquals(0, harness.engine.openRequests());
+        harness.gate.open = true;
+        harness.engine.resumeDeferred();
+        assertEquals(0, harness.counters.attemptsSent);
+        assertNotNull(harness.submit("a"), "its correlation is free");
     }
 
     /** The gate closes between the decision and the first byte: the attempt goes out once, when it opens. */
     @Test
-    void anAttemptThatHasNotBegunWaitsForTheGate() {
-        World w = new World(Idempotency.NON_IDEMPOTENT);
-        w.take("a");
-        Attempt attempt = w.out.remove(0);
-        w.gate.open = false;
-        assertFalse(w.engine.tryBegin(attempt));
+    void attemptNotBegunIsDeferredBySendGate() {
+        EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
+        harness.submit("a");
+        Attempt attempt = harness.inFlight.remove(0);
+        harness.gate.open = false;
+        assertFalse(harness.engine.tryBegin(attempt));
         assertFalse(attempt.hasEnded());
-        w.engine.resumeDeferred();
-        assertTrue(w.out.isEmpty(), "still closed");
-        w.gate.open = true;
-        w.engine.resumeDeferred();
-        assertEquals(List.of(attempt), w.out);
-        assertTrue(w.engine.tryBegin(attempt));
-        assertEquals(1, w.counters.attemptsSent);
+        harness.engine.resumeDeferred();
+        assertTrue(harness.inFlight.isEmpty(), "still closed");
+        harness.gate.open = true;
+        harness.engine.resumeDeferred();
+        assertEquals(List.of(attempt), harness.inFlight);
+        assertTrue(harness.engine.tryBegin(attempt));
+        assertEquals(1, harness.counters.attemptsSent);
     }
 
     /** What was learned at the gate counts: the target drains, and the attempt ends as never sent. */
     @Test
-    void anAttemptWhoseTargetDrainsAtTheGateGoesElsewhere() {
-        World w = new World(Idempotency.NON_IDEMPOTENT);
-        w.list(1, EndpointState.READY);
-        w.take("a");
-        Attempt attempt = w.out.remove(0);
-        w.gate.open = false;
-        assertFalse(w.engine.tryBegin(attempt));
-        w.engine.updateEndpoints(
+    void attemptDeferredBySendGateIsReplacedWhenTargetDrains() {
+        EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
+        harness.listTargets(1, EndpointState.READY);
+        harness.submit("a");
+        Attempt attempt = harness.inFlight.remove(0);
+        harness.gate.open = false;
+        assertFalse(harness.engine.tryBegin(attempt));
+        harness.engine.updateEndpoints(
                 EndpointUpdate.SNAPSHOT,
                 List.of(
                         new WorkerEndpoint(1, 1, "z", "k", 0, EndpointState.DRAINING),
                         new WorkerEndpoint(2, 0, "z", "k", 0, EndpointState.READY)));
-        w.gate.open = true;
-        w.engine.resumeDeferred();
+        harness.gate.open = true;
+        harness.engine.resumeDeferred();
         assertTrue(attempt.hasEnded());
-        assertEquals(List.of(2L), w.out.stream().map(each -> each.target).toList());
+        assertEquals(
+                List.of(2L), harness.inFlight.stream().map(each -> each.target).toList());
     }
 
     @Test
-    void aNameThatIsOpenIsNotTakenTwice() {
-        World w = new World(Idempotency.IDEMPOTENT);
-        Request r = w.take("a");
-        assertNull(w.take("a"));
-        Attempt attempt = w.out.remove(0);
-        w.engine.attemptEnded(attempt, Outcome.SERVED, "ok".getBytes(), null);
-        assertEquals("served ok", w.answers.get(r));
-        assertNotNull(w.take("a"), "it is free again");
+    void duplicateCorrelationIsRejectedWhileOpen() {
+        EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
+        Request request = harness.submit("a");
+        assertNull(harness.submit("a"));
+        Attempt attempt = harness.inFlight.remove(0);
+        harness.engine.attemptEnded(attempt, Outcome.SERVED, "ok".getBytes(), null);
+        assertEquals("served ok", harness.answers.get(request));
+        assertNotNull(harness.submit("a"), "it is free again");
     }
 
     /** Before the process ends: SIGKILL must find nothing unanswered, and nothing is sent for no one. */
     @Test
-    void theLastAnswersLeaveInTimeWhateverTheirClientsGive() {
-        World w = new World(Idempotency.IDEMPOTENT);
-        Request before = w.take("before");
-        w.engine.answerAllBy(w.now + S);
-        Request after = w.take("after");
-        w.pass(S - MS);
-        long sent = w.counters.attemptsSent;
-        w.pass(2 * MS);
+    void answerAllByBoundsDeadlinesOfLaterRequestsOnly() {
+        EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
+        Request before = harness.submit("before");
+        harness.engine.answerAllBy(harness.now + S);
+        Request after = harness.submit("after");
+        harness.advance(S - MS);
+        long sent = harness.counters.attemptsSent;
+        harness.advance(2 * MS);
         assertTrue(after.finished());
-        assertFalse(before.finished(), "taken before: its own deadline holds");
-        assertEquals(sent, w.counters.attemptsSent, "what is cut is not sent again");
-        w.pass(4 * S);
+        assertFalse(before.finished(), "accepted before: its own deadline holds");
+        assertEquals(sent, harness.counters.attemptsSent, "what is cut is not sent again");
+        harness.advance(4 * S);
         assertTrue(before.finished());
-        assertEquals(0, w.engine.openRequests());
+        assertEquals(0, harness.engine.openRequests());
     }
 }
--- a/src/test/java/beechseam/core/RouteTableTest.java
+++ b/src/test/java/beechseam/core/RouteTableTest.java
@@ -16,52 +16,52 @@
 import net.jqwik.api.Property;
 
 class RouteTableTest {
-    /** Lists, changes and operators' words in any order: a target left out never shows as ready. */
+    /** Lists, changes and maintenance in any order: a target in maintenance is never ready in effect. */
     @Property(seed = "77", tries = 200)
-    void whatOperatorsSayHoldsWhateverIsListed(@ForAll long seed) {
+    void maintenanceOverridesListedStateUnderRandomUpdates(@ForAll long seed) {
         Random random = new Random(seed);
         RouteTable table = new RouteTable();
-        Map<Long, WorkerEndpoint> shown = new HashMap<>(); // as the module is told
+        Map<Long, WorkerEndpoint> effective = new HashMap<>(); // as reported to the dispatcher
         Map<Long, EndpointState> listed = new HashMap<>();
-        Map<Long, Long> back = new HashMap<>();
-        Set<Long> out = new HashSet<>();
+        Map<Long, Long> returnedAt = new HashMap<>();
+        Set<Long> inMaintenance = new HashSet<>();
         for (int step = 1; step < 60; step++) {
             long id = random.nextInt(4);
             if (random.nextBoolean()) {
-                boolean full = random.nextInt(3) == 0;
-                List<WorkerEndpoint> lines = new ArrayList<>();
-                if (full) {
+                boolean snapshot = random.nextInt(3) == 0;
+                List<WorkerEndpoint> entries = new ArrayList<>();
+                if (snapshot) {
                     listed.clear();
-                    shown.clear();
+                    effective.clear();
                 }
                 for (long each = 0; each < 4; each++) {
-                    EndpointState state = EndpointState.values()[random.nextInt(full ? 2 : 3)];
+                    EndpointState state = EndpointState.values()[random.nextInt(snapshot ? 2 : 3)];
                     if (random.nextBoolean()) {
-                        lines.add(new WorkerEndpoint(each, 1, "z", "k", random.nextInt(60), state));
+                        entries.add(new WorkerEndpoint(each, 1, "z", "k", random.nextInt(60), state));
                         listed.put(each, state);
                     }
                 }
                 listed.values().removeIf(state -> state == EndpointState.REMOVED);
-                table.apply(full ? EndpointUpdate.SNAPSHOT : EndpointUpdate.DELTA, lines)
-                        .forEach(each -> shown.put(each.id(), each));
+                table.apply(snapshot ? EndpointUpdate.SNAPSHOT : EndpointUpdate.DELTA, entries)
+                        .forEach(each -> effective.put(each.id(), each));
             } else {
-                boolean leaveOut = random.nextBoolean();
-                if (leaveOut ? out.add(id) : out.remove(id)) {
-                    back.put(id, leaveOut ? 0L : step);
-                    WorkerEndpoint row = table.setMaintenance(id, leaveOut, step);
-                    assertEquals(listed.containsKey(id), row != null);
-                    if (row != null) {
-                        shown.put(id, row);
+                boolean maintenance = random.nextBoolean();
+                if (maintenance ? inMaintenance.add(id) : inMaintenance.remove(id)) {
+                    returnedAt.put(id, maintenance ? 0L : step);
+                    WorkerEndpoint entry = table.setMaintenance(id, maintenance, step);
+                    assertEquals(listed.containsKey(id), entry != null);
+                    if (entry != null) {
+                        effective.put(id, entry);
                     }
                 }
             }
             for (long each = 0; each < 4; each++) {
-                boolean serves = listed.get(each) == EndpointState.READY && !out.contains(each);
-                assertEquals(serves, table.acceptsNewWork(each));
-                WorkerEndpoint told = shown.get(each);
-                assertEquals(serves, told != null && told.state() == EndpointState.READY);
-                // It may have restarted while it was out, whatever its row says of that.
-                assertTrue(!serves || told.startedNs() >= back.getOrDefault(each, 0L));
+                boolean ready = listed.get(each) == EndpointState.READY && !inMaintenance.contains(each);
+                assertEquals(ready, table.acceptsNewWork(each));
+                WorkerEndpoint reported = effective.get(each);
+                assertEquals(ready, reported != null && reported.state() == EndpointState.READY);
+                // It may have restarted while in maintenance, whatever its entry says of that.
+                assertTrue(!ready || reported.startedNs() >= returnedAt.getOrDefault(each, 0L));
             }
         }
     }
