--- a/src/main/java/beechseam/platform/ProcessHandover.java
+++ b/src/main/java/beechseam/platform/ProcessHandover.java
@@ -161,6 +161,11 @@
 
     @Override
     public void learnedStateReceived(ByteBuffer piece) {
+        node.engine.importLearnedState(new LearnedState(decode(piece)));
+    }
+
+    /** The entries of a piece; none where it cannot be read, which is logged. */
+    static Map<String, double[]> decode(ByteBuffer piece) {
         Map<String, double[]> learned = new LinkedHashMap<>();
         try {
             int from = piece.arrayOffset() + piece.position();
@@ -170,7 +175,7 @@
         } catch (IOException e) {
             LOG.log(Level.WARNING, "what the other process had learned cannot be read: " + e.getMessage());
         }
-        node.engine.importLearnedState(new LearnedState(learned));
+        return learned;
     }
 
     /** The list's figures; none where it is no such list. */
