--- a/src/main/java/beechseam/ops/AdminEndpoint.java
+++ b/src/main/java/beechseam/ops/AdminEndpoint.java
@@ -14,111 +14,134 @@
 import java.util.List;
 import java.util.Set;
 
-/** The door for operators: a connection brings one line, gets one answer and is closed. */
+/**
+ * The admin endpoint: a connection carries one call, a line of words, gets one answer and is closed. Callers that
+ * never finish are bounded in number and time, so that they keep no other operator out.
+ *
+ * <p>Not thread-safe: everything runs on the event loop.
+ */
 public final class AdminEndpoint {
-    private static final List<String> CALLS = List.of("status", "stats", "maint-on", "maint-off", "standby", "active");
-    private static final int MOST_CALLERS = 16;
-    private static final int MOST_LINE = 512;
-    /** A call comes whole in this time, and so long its answer may wait to be taken. */
-    private static final long CALL_NS = 10_000_000_000L;
-
-    private static final long END_NS = 1_000_000_000L;
+    private static final List<String> CALL_NAMES =
+            List.of("status", "stats", "maint-on", "maint-off", "standby", "active");
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int MAX_LINE_BYTES = 512;
+    /** How long a connection may take to send its call, in nanoseconds. */
+    private static final long CALL_TIMEOUT_NS = 10_000_000_000L;
+    /** How long an answer may wait to be read, in nanoseconds. */
+    private static final long ANSWER_TIMEOUT_NS = 1_000_000_000L;
 
     private final EventLoop loop;
     private final Operations operations;
     private final Listener listener;
-    private final Set<Call> calls = new LinkedHashSet<>();
-
-    public AdminEndpoint(EventLoop loop, SocketAddress at, Operations operations) throws IOException {
+    private final Set<CallConnection> connections = new LinkedHashSet<>();
+
+    /**
+     * Listens for calls.
+     *
+     * @param loop       the event loop on which calls are handled
+     * @param address    where to listen; port 0 takes any free one
+     * @param operations what the calls are made of
+     * @throws IOException if the address cannot be listened on
+     */
+    public AdminEndpoint(EventLoop loop, SocketAddress address, Operations operations) throws IOException {
         this.loop = loop;
         this.operations = operations;
-        listener = new Listener(loop, at, this::accept);
+        listener = new Listener(loop, address, this::accept);
     }
 
+    /** The address listened on, with the actual port. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
+    /** Stops listening and closes all connections, answered or not. */
     public void close() {
         listener.close();
-        Set.copyOf(calls).forEach(Call::close);
+        Set.copyOf(connections).forEach(CallConnection::close);
     }
 
-    /** Callers that never finish make room, the oldest first, so that they keep nobody out. */
+    /** Closes the oldest connection where there are too many: a new caller is never turned away. */
     private void accept(SocketChannel channel) throws IOException {
-        if (calls.size() >= MOST_CALLERS) {
-            calls.iterator().next().close();
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().close();
         }
-        calls.add(new Call(channel));
+        connections.add(new CallConnection(channel));
     }
 
-    /** Carries out a call; the answer with its line end. */
+    /**
+     * Carries out a call.
+     *
+     * @param operations what the call is made of
+     * @param line       the call; its line end may be missing
+     * @return the answer with its line end
+     */
     public static String answer(Operations operations, String line) {
         String[] words = line.strip().split("[ \t]+");
-        int takes = words[0].startsWith("maint-") ? 2 : 1;
-        if (CALLS.contains(words[0]) && words.length != takes) {
-            return "ERR " + words[0] + " takes " + (takes == 1 ? "no further word\n" : "an executor's id\n");
+        int wordCount = words[0].startsWith("maint-") ? 2 : 1;
+        if (CALL_NAMES.contains(words[0]) && words.length != wordCount) {
+            return "ERR " + words[0] + " takes " + (wordCount == 1 ? "no further word\n" : "an executor's id\n");
         }
         return switch (words[0]) {
-            case "status" -> said(operations.status());
+            case "status" -> result(operations.status());
             case "stats" -> operations.stats() + "END\n";
-            case "maint-on" -> said(operations.maintenance(words[1], true));
-            case "maint-off" -> said(operations.maintenance(words[1], false));
-            case "standby" -> said(operations.standby(true));
-            case "active" -> said(operations.standby(false));
-            default -> "ERR unknown call; there are " + String.join(", ", CALLS) + "\n";
+            case "maint-on" -> result(operations.maintenance(words[1], true));
+            case "maint-off" -> result(operations.maintenance(words[1], false));
+            case "standby" -> result(operations.standby(true));
+            case "active" -> result(operations.standby(false));
+            default -> "ERR unknown call; there are " + String.join(", ", CALL_NAMES) + "\n";
         };
     }
 
-    private static String said(String why) {
-        return why == null ? "OK\n" : "ERR " + why + "\n";
+    private static String result(String reason) {
+        return reason == null ? "OK\n" : "ERR " + reason + "\n";
     }
 
-    private final class Call extends Connection {
-        private final Timer patience = new Timer() {
+    /** The connection of one call. */
+    private final class CallConnection extends Connection {
+        private final Timer timeout = new Timer() {
             @Override
             protected void fire() {
                 close();
             }
         };
 
-        Call(SocketChannel channel) throws IOException {
-            super(AdminEndpoint.this.loop, channel, MOST_LINE);
-            loop.timers.set(patience, loop.now() + CALL_NS);
+        CallConnection(SocketChannel channel) throws IOException {
+            super(AdminEndpoint.this.loop, channel, MAX_LINE_BYTES);
+            loop.timers.set(timeout, loop.now() + CALL_TIMEOUT_NS);
         }
 
         @Override
         protected void received(ByteBuffer in) {
-            for (int i = in.position(); i < in.limit() && i < MOST_LINE; i++) {
+            for (int i = in.position(); i < in.limit() && i < MAX_LINE_BYTES; i++) {
                 if (in.get(i) == '\n') {
                     byte[] line = new byte[i - in.position()];
                     in.get(line);
-                    end(answer(operations, new String(line, StandardCharsets.ISO_8859_1)));
-                    in.position(in.limit()); // one line is all that a connection carries
+                    respond(answer(operations, new String(line, StandardCharsets.ISO_8859_1)));
+                    in.position(in.limit()); // a connection carries one call
                     return;
                 }
             }
-            if (in.remaining() >= MOST_LINE) {
+            if (in.remaining() >= MAX_LINE_BYTES) {
                 in.position(in.limit());
-                end("ERR the line is longer than " + MOST_LINE + " bytes\n");
+                respond("ERR the line is longer than " + MAX_LINE_BYTES + " bytes\n");
             }
         }
 
-        private void end(String answer) {
-            loop.timers.set(patience, loop.now() + END_NS);
+        private void respond(String answer) {
+            loop.timers.set(timeout, loop.now() + ANSWER_TIMEOUT_NS);
             write(ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1)));
             endWhenWritten();
         }
 
         @Override
-        protected void lost(IOException why) {
-            // Whoever hangs up wants no answer.
+        protected void lost(IOException cause) {
+            // The caller has disconnected and needs no answer.
         }
 
         @Override
         protected void released() {
-            loop.timers.cancel(patience);
-            calls.remove(this);
+            loop.timers.cancel(timeout);
+            connections.remove(this);
         }
     }
 }
--- a/src/main/java/beechseam/ops/MaintenanceFile.java
+++ b/src/main/java/beechseam/ops/MaintenanceFile.java
@@ -15,69 +15,87 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What operators said of executors and a new process must know: a file, written aside and moved. */
+/**
+ * The file that carries operators' maintenance calls from one process of a node to the next: a JSON object of
+ * executor ids and times. It is written to a temporary file, forced to disk and renamed, so that a reader sees
+ * the old content or the new one.
+ */
 public final class MaintenanceFile {
     private static final Logger LOG = System.getLogger(MaintenanceFile.class.getName());
 
     private final Path file;
 
-    /** {@code node} tells apart the nodes that share the directory. */
+    /**
+     * Names the file; nothing is read or written.
+     *
+     * @param directory the state directory of the node
+     * @param node      tells apart nodes that share the directory; must be valid in a file name
+     */
     public MaintenanceFile(Path directory, String node) {
         file = directory.resolve("beechseam-" + node + "-maintenance.json");
     }
 
     /**
-     * By executor, when it was put back, in the clock's time; 0 where it is left out. Null where nothing has
-     * been kept, or nothing that can be read: that is logged, and the start goes on.
+     * Reads the file.
+     *
+     * @return by executor id, in the order of the file, the time at which it was put back into service, in
+     *     nanoseconds of the event loop's clock, or 0 for one in maintenance; null if there is no file, or if it
+     *     cannot be read, which is logged
      */
     public Map<String, Long> read() {
         try {
-            byte[] text = Files.readAllBytes(file);
-            if (Json.parse(text, 0, text.length) instanceof Map<?, ?> map) {
-                Map<String, Long> all = new LinkedHashMap<>();
+            byte[] content = Files.readAllBytes(file);
+            if (Json.parse(content, 0, content.length) instanceof Map<?, ?> map) {
+                Map<String, Long> entries = new LinkedHashMap<>();
                 for (Map.Entry<?, ?> each : map.entrySet()) {
-                    if (!(each.getValue() instanceof Number back)) {
+                    if (!(each.getValue() instanceof Number restoredNs)) {
                         throw new IOException(each.getKey() + " has no time");
                     }
-                    all.put((String) each.getKey(), back.longValue());
+                    entries.put((String) each.getKey(), restoredNs.longValue());
                 }
-                return all;
+                return entries;
             }
             throw new IOException("not an object");
         } catch (NoSuchFileException e) {
-            return null; // nothing was ever said
+            return null; // nothing was ever written
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.ERROR, "maintenance as kept cannot be read, nobody is left out: " + e.getMessage());
+            LOG.log(Level.ERROR, "maintenance file unreadable reason=" + e.getMessage());
             return null;
         }
     }
 
-    /** Keeps it; false, and logged, where that fails. */
-    public boolean write(Map<String, Long> all) {
-        Path aside = null;
+    /**
+     * Replaces the file's content.
+     *
+     * @param entries as {@link #read} returns them
+     * @return false if that failed, which is logged; the file then keeps its old content
+     */
+    public boolean write(Map<String, Long> entries) {
+        Path temporary = null;
         try {
-            aside = Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
-            try (OutputStream out = Files.newOutputStream(aside);
+            temporary =
+                    Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
+            try (OutputStream out = Files.newOutputStream(temporary);
                     JsonGenerator json = Json.FACTORY.createGenerator(out)) {
                 json.writeStartObject();
-                for (Map.Entry<String, Long> each : all.entrySet()) {
+                for (Map.Entry<String, Long> each : entries.entrySet()) {
                     json.writeNumberField(each.getKey(), each.getValue());
                 }
                 json.writeEndObject();
             }
-            try (FileChannel written = FileChannel.open(aside, StandardOpenOption.WRITE)) {
-                written.force(true); // or the move could outlive what it moves
+            try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
+                channel.force(true); // or a crash could leave the new name with no content
             }
-            Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             return true;
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.ERROR, "maintenance cannot be kept: " + e.getMessage());
+            LOG.log(Level.ERROR, "maintenance file not written reason=" + e.getMessage());
             try {
-                if (aside != null) {
-                    Files.deleteIfExists(aside);
+                if (temporary != null) {
+                    Files.deleteIfExists(temporary);
                 }
-            } catch (IOException further) {
-                LOG.log(Level.DEBUG, "the file written aside stays", further);
+            } catch (IOException suppressed) {
+                LOG.log(Level.DEBUG, "temporary maintenance file not removed file=" + temporary, suppressed);
             }
             return false;
         }
--- a/src/main/java/beechseam/ops/Operations.java
+++ b/src/main/java/beechseam/ops/Operations.java
@@ -1,16 +1,27 @@
 package beechseam.ops;
 
-/** What operators ask of a node. A call that is not done gives the reason, one that is done gives null. */
+/** What operators can ask of a node. A call that is refused or fails returns the reason, any other returns null. */
 public interface Operations {
-    /** Done when clients are served by this process. */
+    /** Why this process does not serve clients, or null if it does. */
     String status();
 
-    /** The figures, a line each. */
+    /** The counters, one {@code name=value} a line, each with its line end. */
     String stats();
 
-    /** Leaves an executor out, or lets it serve again. */
+    /**
+     * Takes an executor out of service or puts it back.
+     *
+     * @param id  the executor's id as discovery lists it
+     * @param out whether it goes out of service
+     * @return null if it is so now, else the reason
+     */
     String maintenance(String id, boolean out);
 
-    /** Sends clients away, or takes them again. */
+    /**
+     * Drains clients to other nodes, or serves them again.
+     *
+     * @param on whether clients are to be drained
+     * @return null if it is so now, else the reason
+     */
     String standby(boolean on);
 }
