--- a/src/main/java/beechseam/ops/MaintenanceFile.java
+++ b/src/main/java/beechseam/ops/MaintenanceFile.java
@@ -38,9 +38,9 @@
     /**
      * Reads the file.
      *
-     * @return by executor id, in the order of the file, the time at which it was put back into service, in
-     *     nanoseconds of the event loop's clock, or 0 for one in maintenance; null if there is no file, or if it
-     *     cannot be read, which is logged
+     * @return by executor id, in no promised order, the time at which it was put back into service, in nanoseconds
+     *     since the epoch, or 0 for one in maintenance; null if there is no file, or if it cannot be read, which is
+     *     logged
      */
     public Map<String, Long> read() {
         try {
--- a/src/main/java/beechseam/platform/Maintenance.java
+++ b/src/main/java/beechseam/platform/Maintenance.java
@@ -6,64 +6,75 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which executors operators have left out, by the ids that discovery has listed. */
+/**
+ * Which executors operators have taken out of service. An id counts once discovery has listed it, also after it
+ * has gone from the list; what operators said is written to the file, for the next process of the node.
+ */
 final class Maintenance {
     private final Engine engine;
-    /** Where it is kept, or null. */
-    private final MaintenanceFile kept;
+    /** Null if nothing is to be stored. */
+    private final MaintenanceFile file;
 
-    private final Map<String, Long> listed = new HashMap<>();
-    private boolean unkept;
-    /** When each was put back; 0 while it is left out. */
-    private Map<String, Long> said = new LinkedHashMap<>();
+    private final Map<String, Long> targetById = new HashMap<>();
+    /** Whether the last change is still to be written. */
+    private boolean unwritten;
+    /** When each was put back, by the event loop's clock in nanoseconds; 0 while it is out of service. */
+    private Map<String, Long> restoredNsById = new LinkedHashMap<>();
 
-    Maintenance(Engine engine, MaintenanceFile kept) {
+    /** {@code file} is null if nothing is to be stored. */
+    Maintenance(Engine engine, MaintenanceFile file) {
         this.engine = engine;
-        this.kept = kept;
+        this.file = file;
     }
 
-    /** Discovery, or the configuration, has listed it. */
+    /** Discovery or the configuration has listed an executor; {@code target} is its number in the engine. */
     void listed(String id, long target) {
-        listed.put(id, target);
+        targetById.put(id, target);
     }
 
-    /** Takes over what is kept in place of what has been said here. */
+    /** Replaces what operators said here by the file's content, if it can be read. */
     void restore() {
-        Map<String, Long> all = kept == null ? null : kept.read();
-        if (all == null) {
+        Map<String, Long> stored = file == null ? null : file.read();
+        if (stored == null) {
             return;
         }
-        said = all;
-        all.forEach((id, back) -> {
+        restoredNsById = stored;
+        stored.forEach((id, restoredNs) -> {
             long target = Wire.target(id);
             if (target >= 0) {
                 listed(id, target);
-                // By the wall clock as it was then: one that lies ahead has been stepped since.
-                engine.setMaintenance(target, back == 0, Math.min(back, engine.now()));
+                // A time in the future shows that the wall clock has been set back since.
+                engine.setMaintenance(target, restoredNs == 0, Math.min(restoredNs, engine.now()));
             }
         });
     }
 
     /**
-     * Leaves the executor out, or puts it back; null where that is so now, else why not. One that the other
-     * process of the node has been told is kept there.
+     * Takes an executor out of service or puts it back.
+     *
+     * @param id    the executor's id
+     * @param out   whether it goes out of service
+     * @param store whether this process writes the file; a call from a peer is written by that peer
+     * @return null if it is done and written, else the reason as operators read it
      */
-    String set(String id, boolean out, boolean keep) {
-        Long target = listed.get(id);
+    String set(String id, boolean out, boolean store) {
+        Long target = targetById.get(id);
         if (target == null) {
             return "no such executor was ever listed";
         }
         if (out != isOut(id)) {
-            long back = out ? 0 : engine.now();
-            said.put(id, back);
-            engine.setMaintenance(target, out, back);
-            unkept |= keep && kept != null;
+            long restoredNs = out ? 0 : engine.now();
+            restoredNsById.put(id, restoredNs);
+            engine.setMaintenance(target, out, restoredNs);
+            unwritten |= store && file != null;
         }
-        unkept = unkept && !kept.write(said); // said again, it is kept if it can be now
-        return unkept ? "done, but it could not be kept for a new process" : null;
+        // A call that is repeated also repeats a write that failed.
+        unwritten = unwritten && !file.write(restoredNsById);
+        return unwritten ? "done, but it could not be kept for a new process" : null;
     }
 
+    /** Whether operators have taken the executor out of service; false for an unknown id. */
     boolean isOut(String id) {
-        return said.getOrDefault(id, -1L) == 0;
+        return restoredNsById.getOrDefault(id, -1L) == 0;
     }
 }
--- a/src/main/java/beechseam/platform/ProcessHandover.java
+++ b/src/main/java/beechseam/platform/ProcessHandover.java
@@ -1,9 +1,7 @@
 package beechseam.platform;
 
-import beechseam.config.Json;
 import beechseam.config.NodeConfig;
 import beechseam.core.Timer;
-import beechseam.dispatch.LearnedState;
 import beechseam.http.Slice;
 import beechseam.ops.AdminEndpoint;
 import beechseam.ops.HandoverLink;
@@ -11,109 +9,113 @@
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
-/** One node of two processes: how the younger joins, and when the elder may hand over to it. */
+/**
+ * Handover between two processes of one node. The successor waits for its predecessor's state and for discovery,
+ * then listens at the same address and says so; it counts as joined when the predecessor has acknowledged that.
+ * The predecessor, when it stops, hands its clients over if a successor serves them. Each waiting has a time
+ * limit, so that a predecessor which hangs cannot keep the node from serving.
+ */
 final class ProcessHandover implements HandoverLink.Process {
     private static final Logger LOG = System.getLogger(ProcessHandover.class.getName());
-    private static final long CHECK_NS = 5_000_000L;
-    /** So long the elder's state and discovery's list are waited for, then this one serves by what it has. */
-    private static final long JOIN_NS = 3_000_000_000L;
-    /** So long the elder may take to note that it has a successor. */
-    private static final long NOTE_NS = 1_000_000_000L;
-
-    /** Pieces are filled up to this part of a frame, since the estimate of their size is rough. */
-    private static final int PIECE_BYTES = HandoverLink.MAX_PIECE_BYTES / 2;
-    /** A figure as JSON, with its comma. */
-    private static final int FIGURE_BYTES = 25;
+    /** The interval at which the conditions for joining are checked, in nanoseconds. */
+    private static final long JOIN_CHECK_INTERVAL_NS = 5_000_000L;
+    /** How long the predecessor's state and the endpoint list are waited for, in nanoseconds. */
+    private static final long JOIN_TIMEOUT_NS = 3_000_000_000L;
+    /** How long the predecessor's acknowledgement is waited for, in nanoseconds. */
+    private static final long ACKNOWLEDGEMENT_TIMEOUT_NS = 1_000_000_000L;
+    /** The pause after a failure to listen, in nanoseconds. */
+    private static final long LISTEN_RETRY_NS = 1_000_000_000L;
 
     private final PlatformNode node;
     private final HandoverLink link;
-    private final Timer join = new Timer() {
+    private final Timer joinTimer = new Timer() {
         @Override
         protected void fire() {
-            join();
+            advanceJoin();
         }
     };
     private boolean joined;
     private boolean handedOver;
     private boolean handlingPeerCall;
-    private long joinBy;
+    /** When the current step of joining is given up, by the event loop's clock, in nanoseconds. */
+    private long joinDeadlineNs;
 
     ProcessHandover(PlatformNode node, NodeConfig config) {
         this.node = node;
         link = new HandoverLink(node.loop, config.state(), config.address(), this);
         joined = link.peerCount() == 0;
-        joinBy = node.loop.now() + JOIN_NS;
+        joinDeadlineNs = node.loop.now() + JOIN_TIMEOUT_NS;
         if (!joined) {
-            LOG.log(Level.INFO, "takes over from another process of this node");
-            node.loop.timers.set(join, node.loop.now());
+            LOG.log(Level.INFO, "handover started peers=" + link.peerCount());
+            node.loop.timers.set(joinTimer, node.loop.now());
         }
     }
 
-    /** Whether this process is one that clients are sent to: the first, or one that its elder knows of. */
+    /** Whether clients are sent to this process: it had no predecessor, or that one knows of it. */
     boolean joined() {
         return joined;
     }
 
-    private void join() {
+    private void advanceJoin() {
         long now = node.loop.now();
-        if (!node.listening() && (!link.awaitsPeerState() && node.isSynced() || now >= joinBy)) {
-            node.maintenance.restore(); // what is said from now on comes by the link
+        if (!node.listening() && (!link.awaitsPeerState() && node.isSynced() || now >= joinDeadlineNs)) {
+            node.maintenance.restore(); // later calls arrive by the link
             try {
                 node.listen();
                 link.ready();
-                joinBy = now + NOTE_NS;
-            } catch (IOException e) { // an elder of a version, or a configuration, that does not share it
-                LOG.log(Level.WARNING, "cannot listen yet: " + e.getMessage());
-                joinBy = now + NOTE_NS;
-                node.loop.timers.set(join, joinBy);
+                joinDeadlineNs = now + ACKNOWLEDGEMENT_TIMEOUT_NS;
+            } catch (IOException e) { // a predecessor whose version or configuration does not share the address
+                LOG.log(Level.WARNING, "listen failed, will retry reason=" + e.getMessage());
+                joinDeadlineNs = now + LISTEN_RETRY_NS;
+                node.loop.timers.set(joinTimer, joinDeadlineNs);
                 return;
             }
         }
-        joined = node.listening() && (!link.awaitsReadyAcknowledgement() || now >= joinBy);
+        joined = node.listening() && (!link.awaitsReadyAcknowledgement() || now >= joinDeadlineNs);
         if (!joined) {
-            node.loop.timers.set(join, now + CHECK_NS);
+            node.loop.timers.set(joinTimer, now + JOIN_CHECK_INTERVAL_NS);
         }
     }
 
+    /** The number of processes of this node, this one included. */
     int processCount() {
         return 1 + link.peerCount();
     }
 
-    /** A call that was carried out here, unless it came from there. */
+    /** Sends the peers an admin call, without line end, that was carried out here, unless it came from a peer. */
     void notifyPeer(String call) {
         if (!handlingPeerCall) {
             link.sendCall(call);
         }
     }
 
-    /** Whether the call under way was made at another process. */
+    /** Whether the admin call being carried out was made at a peer. */
     boolean isHandlingPeerCall() {
         return handlingPeerCall;
     }
 
-    boolean forwardToPeer(Slice event) {
-        return link.forwardCallback(event.bytes(), event.from(), event.length());
+    /** Sends the peers a callback that belongs to no job here; false if there is no peer. */
+    boolean forwardToPeer(Slice callback) {
+        return link.forwardCallback(callback.bytes(), callback.from(), callback.length());
     }
 
-    /** At the end of this process: whether another takes the clients now. */
+    /** Ends joining, since this process stops; returns whether a successor serves the clients now. */
     boolean begin() {
-        node.loop.timers.cancel(join);
+        node.loop.timers.cancel(joinTimer);
         handedOver = link.hasSuccessor();
         return handedOver;
     }
 
-    /** Whether clients are another process's: this one's health does not speak for the node. */
+    /** Whether a successor serves the clients, so that this process's health is not the node's. */
     boolean handedOver() {
         return handedOver;
     }
 
+    /** Leaves the link; the peers see this process end. */
     void close() {
-        node.loop.timers.cancel(join);
+        node.loop.timers.cancel(joinTimer);
         link.close();
     }
 
@@ -124,67 +126,12 @@
 
     @Override
     public Iterable<byte[]> learnedState() {
-        return pieces(node.engine.exportLearnedState().entries());
-    }
-
-    /** The figures by name as JSON, in as many pieces as frames of the link need. */
-    static List<byte[]> pieces(Map<String, double[]> learned) {
-        List<byte[]> pieces = new ArrayList<>();
-        Map<String, double[]> piece = new LinkedHashMap<>();
-        int bytes = 0;
-        for (Map.Entry<String, double[]> each : learned.entrySet()) {
-            int more = each.getKey().length() + FIGURE_BYTES * (each.getValue().length + 1);
-            if (bytes + more > PIECE_BYTES) {
-                add(pieces, piece);
-                bytes = 0;
-            }
-            piece.put(each.getKey(), each.getValue());
-            bytes += more;
-        }
-        add(pieces, piece);
-        return pieces;
-    }
-
-    private static void add(List<byte[]> pieces, Map<String, double[]> piece) {
-        try {
-            byte[] text = Json.bytes(piece);
-            if (text.length <= HandoverLink.MAX_PIECE_BYTES) {
-                pieces.add(text);
-            } else {
-                LOG.log(Level.WARNING, "not handed over, too long: " + piece.keySet());
-            }
-        } catch (IOException e) {
-            LOG.log(Level.WARNING, "what was learned cannot be handlingPeerCall: " + e.getMessage());
-        }
-        piece.clear();
+        return LearnedStateCodec.encode(node.engine.exportLearnedState());
     }
 
     @Override
     public void learnedStateReceived(ByteBuffer piece) {
-        node.engine.importLearnedState(new LearnedState(decode(piece)));
-    }
-
-    /** The entries of a piece; none where it cannot be read, which is logged. */
-    static Map<String, double[]> decode(ByteBuffer piece) {
-        Map<String, double[]> learned = new LinkedHashMap<>();
-        try {
-            int from = piece.arrayOffset() + piece.position();
-            if (Json.parse(piece.array(), from, piece.remaining()) instanceof Map<?, ?> map) {
-                map.forEach((name, list) -> learned.put((String) name, figures(list)));
-            }
-        } catch (IOException e) {
-            LOG.log(Level.WARNING, "what the other process had learned cannot be read: " + e.getMessage());
-        }
-        return learned;
-    }
-
-    /** The list's figures; none where it is no such list. */
-    private static double[] figures(Object list) {
-        return list instanceof List<?> all && all.stream().allMatch(each -> each instanceof Number)
-                ? all.stream()
-                        .mapToDouble(each -> ((Number) each).doubleValue())
-                        .toArray()
-                : new double[0];
+        node.engine.importLearnedState(LearnedStateCodec.decode(piece));
     }
 
     @Override
@@ -192,7 +139,7 @@
         handlingPeerCall = true;
         String answer = AdminEndpoint.answer(node, line);
         handlingPeerCall = false;
-        LOG.log(Level.INFO, "handlingPeerCall by the other process: " + line + ": " + answer.strip());
+        LOG.log(Level.INFO, "peer call handled call=" + line + " answer=" + answer.strip());
     }
 
     @Override
--- a/src/main/java/beechseam/platform/StatsReport.java
+++ b/src/main/java/beechseam/platform/StatsReport.java
@@ -5,36 +5,41 @@
 import beechseam.dispatch.JobClass;
 import java.util.List;
 
-/** The figures that operators read, a line each. */
+/**
+ * The counters that operators read at the admin endpoint, one {@code svc.name=value} a line. Names and order are
+ * read by monitoring and stay.
+ */
 final class StatsReport {
     private final Engine engine;
     private final List<JobClass> classes;
 
+    /** {@code classes} in the order in which the engine counts them. */
     StatsReport(Engine engine, List<JobClass> classes) {
         this.engine = engine;
         this.classes = classes;
     }
 
+    /** All counters as they are now, each line with its end. */
     String lines() {
-        StringBuilder all = new StringBuilder(1024);
+        StringBuilder report = new StringBuilder(1024);
         Counters counters = engine.counters();
         for (int i = 0; i < classes.size(); i++) {
-            Counters.ClassCounters c = counters.of(i);
-            String of = "transactions." + classes.get(i).name() + ".";
-            line(all, of + "answered", c.answered());
-            line(all, of + "deferred", c.deferred());
-            line(all, of + "errored", c.errored());
-            line(all, of + "sends", c.written);
+            Counters.ClassCounters classCounters = counters.of(i);
+            String prefix = "transactions." + classes.get(i).name() + ".";
+            appendLine(report, prefix + "answered", classCounters.answered());
+            appendLine(report, prefix + "deferred", classCounters.deferred());
+            appendLine(report, prefix + "errored", classCounters.errored());
+            appendLine(report, prefix + "sends", classCounters.written);
         }
-        line(all, "current", counters.current());
-        line(all, "cluster_size", engine.routeTable().size());
-        line(all, "cluster_unhealthy", engine.unavailableTargets());
-        line(all, "conf_loaded", counters.confLoaded);
-        line(all, "conf_invalid", counters.confInvalid);
-        return all.toString();
+        appendLine(report, "current", counters.current());
+        appendLine(report, "cluster_size", engine.routeTable().size());
+        appendLine(report, "cluster_unhealthy", engine.unavailableTargets());
+        appendLine(report, "conf_loaded", counters.confLoaded);
+        appendLine(report, "conf_invalid", counters.confInvalid);
+        return report.toString();
     }
 
-    private static void line(StringBuilder all, String name, long value) {
-        all.append("svc.").append(name).append('=').append(value).append('\n');
+    private static void appendLine(StringBuilder report, String name, long value) {
+        report.append("svc.").append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/test/java/beechseam/ops/RecordedMaintenanceFileTest.java
+++ b/src/test/java/beechseam/ops/RecordedMaintenanceFileTest.java
@@ -5,7 +5,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -28,11 +27,13 @@
     }
 
     @Test
-    void recordedFileIsReadWithItsValuesInItsOrder() throws IOException {
+    void recordedFileIsReadAndWrittenAgainWithItsBytes() throws IOException {
         Files.write(directory.resolve(FILE_NAME), Recordings.read("maintenance.json"));
         Map<String, Long> read = new MaintenanceFile(directory, NODE).read();
         assertEquals(recordedEntries(), read);
-        assertEquals(List.copyOf(recordedEntries().keySet()), new ArrayList<>(read.keySet()));
+        Path next = Files.createDirectory(directory.resolve("next"));
+        assertTrue(new MaintenanceFile(next, NODE).write(read));
+        assertArrayEquals(Recordings.read("maintenance.json"), Files.readAllBytes(next.resolve(FILE_NAME)));
     }
 
     @Test
--- a/src/test/java/beechseam/platform/HandoverPiecesTest.java
+++ b/src/test/java/beechseam/platform/HandoverPiecesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import beechseam.config.Json;
+import beechseam.dispatch.LearnedState;
 import beechseam.ops.HandoverLink;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -40,7 +41,7 @@
             learned.put("worker " + i, figures(6));
             learned.put("cold " + i, figures(i % 10 == 0 ? LONG_HISTORY : 0));
         }
-        Map<String, Object> all = joined(ProcessHandover.pieces(learned));
+        Map<String, Object> all = joined(LearnedStateCodec.encode(new LearnedState(learned)));
         assertEquals(learned.keySet(), all.keySet());
         assertEquals(LONG_HISTORY, ((List<?>) all.get("cold 10")).size());
     }
@@ -52,7 +53,7 @@
         learned.put("before", figures(3));
         learned.put("much", figures(10_000));
         learned.put("after", figures(3));
-        Map<String, Object> all = joined(ProcessHandover.pieces(learned));
+        Map<String, Object> all = joined(LearnedStateCodec.encode(new LearnedState(learned)));
         assertEquals(List.of("before", "after"), new ArrayList<>(all.keySet()));
     }
 }
--- a/src/test/java/beechseam/platform/RecordedLearnedStateTest.java
+++ b/src/test/java/beechseam/platform/RecordedLearnedStateTest.java
@@ -109,10 +109,12 @@
     }
 
     /** The decoded entries in the recorded order: a reader of JSON may give them in any. */
-    private static Map<String, double[]> inRecordedOrder(Map<String, double[]> decoded) throws IOException {
+    private static LearnedState inRecordedOrder(LearnedState decoded) throws IOException {
         Map<String, double[]> ordered = new LinkedHashMap<>();
-        recordedFigures().keySet().forEach(name -> ordered.put(name, decoded.get(name)));
-        return ordered;
+        recordedFigures()
+                .keySet()
+                .forEach(name -> ordered.put(name, decoded.entries().get(name)));
+        return new LearnedState(ordered);
     }
 
     private static Map<String, List<Double>> figures(LearnedState state) {
@@ -146,9 +148,9 @@
     @Test
     void recordedPieceIsDecodedWithItsFiguresAndEncodedWithItsBytes() throws IOException {
         byte[] piece = RecordedHandoverTest.recordedPiece();
-        Map<String, double[]> decoded = ProcessHandover.decode(ByteBuffer.wrap(piece));
-        assertEquals(recordedFigures(), figures(new LearnedState(decoded)));
-        List<byte[]> encoded = ProcessHandover.pieces(inRecordedOrder(decoded));
+        LearnedState decoded = LearnedStateCodec.decode(ByteBuffer.wrap(piece));
+        assertEquals(recordedFigures(), figures(decoded));
+        List<byte[]> encoded = LearnedStateCodec.encode(inRecordedOrder(decoded));
         assertEquals(1, encoded.size());
         assertArrayEquals(piece, encoded.get(0));
     }
@@ -156,8 +158,8 @@
     @Test
     void importedStateIsExportedWithTheSameNamesOrderAndFigures() throws IOException {
         Dispatcher younger = younger();
-        Map<String, double[]> decoded = ProcessHandover.decode(ByteBuffer.wrap(RecordedHandoverTest.recordedPiece()));
-        younger.importLearnedState(NOW, new LearnedState(decoded));
+        LearnedState decoded = LearnedStateCodec.decode(ByteBuffer.wrap(RecordedHandoverTest.recordedPiece()));
+        younger.importLearnedState(NOW, decoded);
         Map<String, List<Double>> exported = figures(younger.exportLearnedState(NOW));
         assertEquals(List.copyOf(recordedFigures().keySet()), List.copyOf(exported.keySet()));
         assertEquals(recordedFigures(), exported);
