--- a/src/main/java/beechseam/platform/Callbacks.java
+++ b/src/main/java/beechseam/platform/Callbacks.java
@@ -14,33 +14,33 @@
 import java.util.function.Predicate;
 
 /**
- * What executors tell of jobs, here or by way of another process of this node. An event may come before the
- * 202, twice, late, or for a request that is long forgotten: whatever finds no attempt that is out at its
- * sender is taken and passed over.
+ * The events that executors post about jobs, directly or by way of another process of this node. An event may
+ * come before the 202, twice, late, or for a request that is long forgotten: one that matches no attempt in
+ * flight at its sender is acknowledged and ignored.
  */
 final class Callbacks {
     private final Engine engine;
     private final ModuleOptions options;
     private final Predicate<Slice> forwardToPeer;
 
-    /** {@code forwardToPeer} hands an event to the other processes of this node, and is false where none is. */
+    /** {@code forwardToPeer} sends an event to the other processes of this node; false where there is none. */
     Callbacks(Engine engine, ModuleOptions options, Predicate<Slice> forwardToPeer) {
         this.engine = engine;
         this.options = options;
         this.forwardToPeer = forwardToPeer;
     }
 
-    /** Whether the body was an event at all. One for a job that is not here may be another process's. */
-    boolean take(Slice body) {
-        return take(body, true);
+    /** Handles an event from an executor; false where the body is none. A job unknown here may be a peer's. */
+    boolean handle(Slice body) {
+        return handle(body, true);
     }
 
-    /** One that another process had no job for: it goes no further. */
+    /** Handles an event that another process had no job for: it is not forwarded again. */
     void handleForwarded(Slice body) {
-        take(body, false);
+        handle(body, false);
     }
 
-    private boolean take(Slice body, boolean first) {
+    private boolean handle(Slice body, boolean mayForward) {
         Object tree;
         try {
             tree = Json.parse(body.bytes(), body.from(), body.length());
@@ -54,7 +54,7 @@
             return false;
         }
         Request request = engine.findRequest(id);
-        if (request == null && first && forwardToPeer.test(body)) {
+        if (request == null && mayForward && forwardToPeer.test(body)) {
             return true;
         }
         Attempt attempt = request == null ? null : request.attemptAt(Wire.target(from));
@@ -62,7 +62,12 @@
             engine.counters().lateCallbacks++;
             return true;
         }
-        LoadReport load = event.get("load") instanceof Map<?, ?> report ? Wire.load(options, report) : null;
+        apply(attempt, state, event);
+        return true;
+    }
+
+    private void apply(Attempt attempt, String state, Map<?, ?> event) {
+        LoadReport load = event.get("load") instanceof Map<?, ?> report ? Wire.loadReport(options, report) : null;
         switch (state) {
             case "started" -> engine.attemptStarted(attempt);
             case "running" -> {
@@ -70,16 +75,15 @@
                     engine.attemptProgressed(attempt, share.doubleValue());
                 }
             }
-            case "done" -> engine.attemptEnded(attempt, Outcome.SERVED, result(event.get("result")), load);
+            case "done" -> engine.attemptEnded(attempt, Outcome.SERVED, resultBytes(event.get("result")), load);
             case "failed" -> engine.attemptEnded(attempt, Outcome.ERROR, null, load);
             case "returned" -> engine.attemptEnded(attempt, Outcome.REJECTED, null, load);
             case "lost" -> engine.attemptEnded(attempt, Outcome.LOST, null, load);
             default -> {} // a state of a later version of the protocol
         }
-        return true;
     }
 
-    private static byte[] result(Object result) {
+    private static byte[] resultBytes(Object result) {
         return result == null ? Wire.NOTHING : result.toString().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/beechseam/platform/EgressConnection.java
+++ b/src/main/java/beechseam/platform/EgressConnection.java
@@ -11,7 +11,7 @@
 /** A connection to an executor: connecting, idle in its pool, or busy with one exchange. */
 final class EgressConnection extends Connection {
     private final EgressPool pool;
-    private final EgressPool.Target target;
+    private final EgressTarget target;
     private final HttpParser parser = new HttpParser(false);
     private final Timer connectTimeout = new Timer() {
         @Override
@@ -19,22 +19,26 @@
             fail(new IOException("no connection in time"));
         }
     };
-    private Exchange now;
+    /** The exchange under way, or the one that the connection is opened for; else null. */
+    private Exchange current;
+
+    /** True within the call that opens the connection: a failure there may be this machine's. */
     private boolean opening;
-    private boolean begun;
-    private boolean whole;
-    /** How long it had stood idle before the exchange under way; 0 for its first. */
-    private long stoodIdleNs;
 
-    EgressConnection(EgressPool pool, EgressPool.Target target) throws IOException {
+    private boolean requestBegun;
+    private boolean requestWritten;
+    /** How long the connection was idle before the exchange under way, in nanoseconds; 0 for its first. */
+    private long idleBeforeNs;
+
+    EgressConnection(EgressPool pool, EgressTarget target) throws IOException {
         super(pool.loop, null, HttpParser.MAX_MESSAGE);
         this.pool = pool;
         this.target = target;
     }
 
-    /** Opens it for an exchange. */
+    /** Connects, and begins the exchange once connected. */
     void open(Exchange first) {
-        now = first;
+        current = first;
         loop.timers.set(connectTimeout, loop.now() + pool.connectTimeoutNs);
         opening = true;
         connect(target.address);
@@ -43,40 +47,40 @@
 
     /** Begins an exchange on the idle connection; false where it was not wanted any more. */
     boolean begin(Exchange next) {
-        now = next;
-        stoodIdleNs = loop.now() - lastActivity();
-        return start();
+        current = next;
+        idleBeforeNs = loop.now() - lastActivity();
+        return beginCurrent();
     }
 
     @Override
     protected void connected() {
         loop.timers.cancel(connectTimeout);
-        pool.connected();
-        if (!start()) {
-            pool.idle(this);
+        pool.connectionEstablished();
+        if (!beginCurrent()) {
+            pool.connectionIdle(this);
         }
     }
 
-    /** Asked at the last moment: much may have changed while the exchange waited. */
-    private boolean start() {
-        begun = false;
-        if (!now.wanted()) {
-            now = null;
+    /** The exchange is asked at the last moment: much may have changed while it waited. */
+    private boolean beginCurrent() {
+        requestBegun = false;
+        if (!current.tryBegin()) {
+            current = null;
             return false;
         }
-        begun = true;
-        whole = false;
-        now.connection = this;
-        write(now.bytes());
+        requestBegun = true;
+        requestWritten = false;
+        current.connection = this;
+        write(current.encodeRequest());
         return true;
     }
 
-    /** All that waited has been written: the exchange under way, if it has begun, is out to its last byte. */
+    /** All queued bytes have been written: the last of the exchange under way among them, if it has begun. */
     @Override
     protected void written() {
-        if (now != null && begun && !whole) {
-            whole = true;
-            now.written();
+        if (current != null && requestBegun && !requestWritten) {
+            requestWritten = true;
+            current.requestWritten();
         }
     }
 
@@ -84,7 +88,7 @@
     protected void received(ByteBuffer in) {
         try {
             while (in.hasRemaining() && !closed()) {
-                if (now == null) { // an answer to nothing: its frame is lost
+                if (current == null) { // a response to no request: where the next one starts is unknown
                     close();
                     return;
                 }
@@ -92,7 +96,7 @@
                     return;
                 }
                 if (parser.status() >= 200) {
-                    answered(in.hasRemaining());
+                    responseReceived(in.hasRemaining());
                 }
             }
         } catch (HttpException e) {
@@ -100,62 +104,62 @@
         }
     }
 
-    /** {@code more}: bytes behind the answer, which the next exchange would take for its own. */
-    private void answered(boolean more) {
-        Exchange done = now;
-        now = null;
-        done.connection = null;
-        if (parser.keepAlive() && !parser.untilClose() && unwritten() == 0 && !more) {
-            pool.idle(this);
+    /** {@code surplus}: bytes behind the response, which the next exchange would take for its own. */
+    private void responseReceived(boolean surplus) {
+        Exchange completed = current;
+        current = null;
+        completed.connection = null;
+        if (parser.keepAlive() && !parser.untilClose() && unwritten() == 0 && !surplus) {
+            pool.connectionIdle(this);
         } else {
             close();
         }
-        done.answered(parser);
+        completed.responseReceived(parser);
     }
 
-    /** The exchange under way is of no interest any more, and its answer would come in the way. */
-    void abandon() {
-        now = null;
+    /** Closes without a report to the exchange under way: its response is of no interest any more. */
+    void abort() {
+        current = null;
         close();
     }
 
     /**
-     * A peer that has vanished says nothing: its exchange is broken off. One that trickles an answer without
-     * end is no longer listened to once what it was asked has ended by other ways.
+     * A peer that has vanished says nothing: its exchange fails. One that trickles a response without end is no
+     * longer listened to once the exchange has expired.
      */
-    void sweep(long time, long stallNs) {
-        if (now != null && time - lastActivity() > stallNs) {
+    void sweep(long nowNs, long stallTimeoutNs) {
+        if (current != null && nowNs - lastActivity() > stallTimeoutNs) {
             fail(new IOException("no answer"));
-        } else if (now != null && begun && now.outlived(time)) {
-            abandon();
+        } else if (current != null && requestBegun && current.hasExpired(nowNs)) {
+            abort();
         }
     }
 
-    EgressPool.Target target() {
+    EgressTarget target() {
         return target;
     }
 
     @Override
-    protected void lost(IOException why) {
-        if (now != null) {
-            Exchange broken = now;
-            now = null;
-            broken.connection = null;
-            if (opening && why instanceof BindException) { // out of ports: no fault of the executor's
-                pool.sendLater(target, broken, why);
+    protected void lost(IOException cause) {
+        if (current != null) {
+            Exchange failed = current;
+            current = null;
+            failed.connection = null;
+            if (opening && cause instanceof BindException) { // out of ports: no fault of the executor's
+                pool.retryLater(target, failed, cause);
                 return;
             }
-            if (begun && stoodIdleNs > 0) {
-                pool.shortenIdleTimeout(target, stoodIdleNs);
+            if (requestBegun && idleBeforeNs > 0) {
+                pool.shortenIdleTimeout(target, idleBeforeNs);
             }
             // Before its last byte has gone nothing can have run; after that it may have.
-            broken.broken(!begun || unwritten() > 0);
+            failed.failed(!requestBegun || unwritten() > 0);
         }
     }
 
     @Override
     protected void released() {
         loop.timers.cancel(connectTimeout);
-        pool.released(this);
+        pool.connectionClosed(this);
     }
 }
--- a/src/main/java/beechseam/platform/EgressPool.java
+++ b/src/main/java/beechseam/platform/EgressPool.java
@@ -2,11 +2,11 @@
 
 import beechseam.core.Timer;
 import beechseam.net.EventLoop;
+import beechseam.net.RetryBackoff;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -14,231 +14,227 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Connections to executors, kept alive between exchanges. It sends nothing twice. */
+/**
+ * Keep-alive connections to executors, bounded in total and for each executor. An exchange goes out on an idle
+ * connection, else on a new one, else it waits in its target's queue. It is never sent twice: whether a
+ * request that broke off has run is not the pool's to judge, so it reports the failure and retries nothing but
+ * sockets that could not be opened on this machine.
+ */
 final class EgressPool {
     private static final Logger LOG = System.getLogger(EgressPool.class.getName());
 
-    /** An executor's address with the connections to it. */
-    static final class Target {
-        final long id;
-        final String host;
-        final InetSocketAddress address;
-        final ArrayDeque<EgressConnection> idle = new ArrayDeque<>();
-        final ArrayDeque<Exchange> queue = new ArrayDeque<>();
-        final Set<EgressConnection> busy = new LinkedHashSet<>();
-        int open;
-        boolean gone;
-        /** How long a connection to it may stand idle and still be used. */
-        long keepIdleNs;
-
-        long staleAt;
-
-        Target(long id, String host, InetSocketAddress address, long keepIdleNs) {
-            this.id = id;
-            this.host = host;
-            this.address = address;
-            this.keepIdleNs = keepIdleNs;
-        }
-    }
+    /** An exchange without progress for so long will not be answered: longer than any client waits. */
+    private static final long STALL_TIMEOUT_NS = 15_000_000_000L;
 
-    final EventLoop loop;
-    final long connectTimeoutNs;
-    /** An exchange that has stood still for so long will not be answered: longer than any client waits. */
-    private static final long STALL_NS = 15_000_000_000L;
+    /** A middlebox may forget idle connections sooner than configured; but none is renewed at each use. */
+    private static final long MIN_IDLE_TIMEOUT_NS = 50_000_000L;
+
+    private static final long DEFAULT_IDLE_TIMEOUT_NS = 30_000_000_000L;
 
-    /** Something on the way may forget idle connections sooner than told; but none is renewed at each use. */
-    private static final long LEAST_KEPT_NS = 50_000_000L;
     /**
-     * A second answer may come some milliseconds behind the first, and would be taken for that to the next
-     * request: so a connection rests before that, where another is free or can be opened.
+     * A second response may come some milliseconds behind the first and would be taken for that to the next
+     * request: a connection is reused only after this time where another is free or can be opened.
      */
-    private static final long REST_NS = 20_000_000L;
-    /** So long after the last break a longer pause is tried again. */
-    private static final long STALE_NS = 30_000_000_000L;
+    private static final long REUSE_DELAY_NS = 20_000_000L;
+
+    /** After this time without a break on an idle connection a longer idle timeout is tried again. */
+    private static final long IDLE_TIMEOUT_RECOVERY_NS = 30_000_000_000L;
 
-    private final long keepIdleNs;
-    private int mostOpen;
-    private int mostPerTarget;
-    /** The pauses after a socket that could not be opened here. */
-    private static final long FIRST_PAUSE_NS = 10_000_000L;
+    final EventLoop loop;
+    final long connectTimeoutNs;
 
-    private static final long LONGEST_PAUSE_NS = 160_000_000L;
+    private final long maxIdleTimeoutNs;
+    private int maxConnections;
+    private int maxConnectionsPerTarget;
+    private int openConnections;
 
-    private final Map<Long, Target> targets = new HashMap<>();
-    /** Those whose exchanges wait for a connection. */
-    private final Set<Target> queued = new LinkedHashSet<>();
+    private final Map<Long, EgressTarget> targets = new HashMap<>();
+    /** Targets whose exchanges wait for a connection. */
+    private final Set<EgressTarget> queuedTargets = new LinkedHashSet<>();
+    /** Listed no more, but with connections that are still busy: these end by the same timeouts. */
+    private final Set<EgressTarget> removedTargets = new LinkedHashSet<>();
 
-    private final Runnable descriptorFreed = this::descriptorFreed;
-    private final Timer pause = new Timer() {
+    private final RetryBackoff socketBackoff = RetryBackoff.forSockets();
+    private final Timer retryTimer = new Timer() {
         @Override
         protected void fire() {
             sendQueued();
         }
     };
-    private long pauseNs;
-    private long localFailures;
+    private final Runnable onDescriptorFreed = this::retryNow;
     private boolean sendsAtTurnEnd;
-    /** No longer listed, but with connections that are still busy: these end by the same clocks. */
-    private final Set<Target> removed = new LinkedHashSet<>();
 
-    private int open;
-
-    /** The executor's side closes what stands idle for {@code idleCloseNs}: this side does so well before. */
-    EgressPool(EventLoop loop, long connectTimeoutNs, long idleCloseNs) {
+    /**
+     * An empty pool, without room for connections until {@link #setLimits}.
+     *
+     * @param connectTimeoutNs how long a connect and the response to a written job may take, in nanoseconds
+     * @param peerIdleTimeoutNs after which the executor's side closes an idle connection, in nanoseconds: this
+     *     side does so at half the time; 0 or less where that is not known
+     */
+    EgressPool(EventLoop loop, long connectTimeoutNs, long peerIdleTimeoutNs) {
         this.loop = loop;
         this.connectTimeoutNs = connectTimeoutNs;
-        this.keepIdleNs = idleCloseNs > 0 ? idleCloseNs / 2 : 30_000_000_000L;
+        this.maxIdleTimeoutNs = peerIdleTimeoutNs > 0 ? peerIdleTimeoutNs / 2 : DEFAULT_IDLE_TIMEOUT_NS;
     }
 
-    /** How many connections there may be. A lower bound is come down to as exchanges end. */
-    void bound(int most, int mostToOne) {
-        mostOpen = most;
-        mostPerTarget = mostToOne;
+    /** Bounds the connections. Above a lowered bound none is closed, but none is opened either. */
+    void setLimits(int connections, int connectionsPerTarget) {
+        maxConnections = connections;
+        maxConnectionsPerTarget = connectionsPerTarget;
     }
 
-    Target target(long id) {
+    /** The executor with this id, or null where none is listed. */
+    EgressTarget target(long id) {
         return targets.get(id);
     }
 
-    /** A row of the route table names this address. */
+    /** An entry of the route table names this address. A changed one replaces the target. */
     void put(long id, String host, InetSocketAddress address) {
-        Target known = targets.get(id);
+        EgressTarget known = targets.get(id);
         if (known == null || !known.address.equals(address)) {
             remove(id);
-            targets.put(id, new Target(id, host, address, keepIdleNs));
+            targets.put(id, new EgressTarget(id, host, address, maxIdleTimeoutNs));
         }
     }
 
+    /** Fails what is queued for the target and closes its idle connections; busy ones end as they would. */
     void remove(long id) {
-        Target t = targets.remove(id);
-        if (t != null) {
-            t.gone = true;
-            removed.add(t);
-            List.copyOf(t.idle).forEach(EgressConnection::close);
-            List<Exchange> waiting = new ArrayList<>(t.queue);
-            t.queue.clear();
-            queued.remove(t);
-            waiting.forEach(each -> {
-                if (each.wanted()) {
-                    each.broken(true);
+        EgressTarget target = targets.remove(id);
+        if (target != null) {
+            target.removed = true;
+            removedTargets.add(target);
+            List.copyOf(target.idleConnections).forEach(EgressConnection::close);
+            List<Exchange> queued = new ArrayList<>(target.queue);
+            target.queue.clear();
+            queuedTargets.remove(target);
+            queued.forEach(each -> {
+                if (each.tryBegin()) {
+                    each.failed(true);
                 }
             });
         }
     }
 
-    void retain(Set<Long> named) {
+    /** Removes all targets but these. */
+    void retain(Set<Long> listedIds) {
         for (Long id : List.copyOf(targets.keySet())) {
-            if (!named.contains(id)) {
+            if (!listedIds.contains(id)) {
                 remove(id);
             }
         }
     }
 
-    /** Sends it on an idle connection, a new one, or when one frees. */
-    void send(Target t, Exchange exchange) {
-        EgressConnection idle = idle(t);
+    /** Sends it on an idle connection or a new one, or queues it until a connection becomes free. */
+    void send(EgressTarget target, Exchange exchange) {
+        EgressConnection idle = acquireIdle(target);
         if (idle != null) {
-            t.busy.add(idle);
+            target.busyConnections.add(idle);
             if (!idle.begin(exchange)) {
-                idle(idle);
+                connectionIdle(idle);
             }
             return;
         }
-        if (t.open >= mostPerTarget || open >= mostOpen && !closeAnIdleOne()) {
-            enqueue(t, exchange);
+        if (target.openConnections >= maxConnectionsPerTarget || !hasRoomForConnection()) {
+            enqueue(target, exchange);
             return;
         }
-        EgressConnection fresh;
+        EgressConnection opened;
         try {
-            fresh = new EgressConnection(this, t);
+            opened = new EgressConnection(this, target);
         } catch (IOException e) { // out of descriptors
-            sendLater(t, exchange, e);
-            loop.whenDescriptorFreed(descriptorFreed);
+            retryLater(target, exchange, e);
+            loop.whenDescriptorFreed(onDescriptorFreed);
             return;
         }
-        t.open++;
-        open++;
-        t.busy.add(fresh);
-        fresh.open(exchange);
+        target.openConnections++;
+        openConnections++;
+        target.busyConnections.add(opened);
+        opened.open(exchange);
     }
 
-    private void enqueue(Target t, Exchange exchange) {
-        t.queue.add(exchange);
-        queued.add(t);
+    private void enqueue(EgressTarget target, Exchange exchange) {
+        target.queue.add(exchange);
+        queuedTargets.add(target);
     }
 
     /**
      * This machine is out of descriptors or ports: that says nothing of the executor, which must not be
-     * doubted for it. The exchange waits, for as long as it is wanted, until a socket can be opened.
+     * suspected for it. The exchange waits, for as long as it is wanted, until a socket can be opened.
      */
-    void sendLater(Target t, Exchange exchange, IOException why) {
-        LOG.log(localFailures++ == 0 ? Level.WARNING : Level.DEBUG, "no socket: " + why.getMessage());
-        enqueue(t, exchange);
-        if (!pause.armed()) {
-            pauseNs = pauseNs == 0 ? FIRST_PAUSE_NS : Math.min(2 * pauseNs, LONGEST_PAUSE_NS);
-            loop.timers.set(pause, loop.now() + pauseNs);
+    void retryLater(EgressTarget target, Exchange exchange, IOException cause) {
+        Level level = socketBackoff.recordFailure() ? Level.WARNING : Level.DEBUG;
+        LOG.log(level, "socket open failed reason=" + cause.getMessage());
+        enqueue(target, exchange);
+        if (!retryTimer.armed()) {
+            loop.timers.set(retryTimer, loop.now() + socketBackoff.nextPauseNs());
         }
     }
 
-    /** A connection has come up: this machine opens sockets again. */
-    void connected() {
-        if (localFailures > 0) {
-            LOG.log(Level.INFO, "sockets again after " + localFailures + " failures");
+    /** A connection has been established: this machine opens sockets again. */
+    void connectionEstablished() {
+        long failures = socketBackoff.recordSuccess();
+        if (failures > 0) {
+            LOG.log(Level.INFO, "socket open recovered failures=" + failures);
         }
-        localFailures = 0;
-        pauseNs = 0;
     }
 
-    private void descriptorFreed() {
-        loop.timers.cancel(pause);
+    private void retryNow() {
+        loop.timers.cancel(retryTimer);
         sendQueued();
     }
 
-    /** Sends what waits, as far as there is room for connections. */
+    /** Sends queued exchanges as far as there is room for connections. */
     private void sendQueued() {
-        for (Target t : List.copyOf(queued)) {
-            int most = t.queue.size();
-            for (int i = 0; i < most && !t.queue.isEmpty() && t.open < mostPerTarget; i++) {
-                if (pause.armed() || open >= mostOpen && !closeAnIdleOne()) {
+        for (EgressTarget target : List.copyOf(queuedTargets)) {
+            int queued = target.queue.size();
+            for (int i = 0;
+                    i < queued && !target.queue.isEmpty() && target.openConnections < maxConnectionsPerTarget;
+                    i++) {
+                if (retryTimer.armed() || !hasRoomForConnection()) {
                     return; // no further target has room either
                 }
-                send(t, poll(t));
+                send(target, poll(target));
             }
         }
     }
 
-    private Exchange poll(Target t) {
-        Exchange next = t.queue.poll();
-        if (t.queue.isEmpty()) {
-            queued.remove(t);
+    private Exchange poll(EgressTarget target) {
+        Exchange next = target.queue.poll();
+        if (target.queue.isEmpty()) {
+            queuedTargets.remove(target);
         }
         return next;
     }
 
     /**
-     * The idle connection used last that has rested, or null. Its peer may have closed it in this very turn,
-     * and a request written to it then may have run for all that is known: so what it has said is read first.
+     * An idle connection past its reuse delay, the one used last first, or null. Its peer may have closed it
+     * in this very turn, and a request written to it then may have run for all that is known: so it is read
+     * first.
      */
-    private EgressConnection idle(Target t) {
+    private EgressConnection acquireIdle(EgressTarget target) {
         long now = loop.now();
-        while (!t.idle.isEmpty() && now - t.idle.peekLast().lastActivity() > t.keepIdleNs) {
-            t.idle.peekLast().close();
-        }
-        boolean full = t.open >= mostPerTarget || open >= mostOpen;
-        for (EgressConnection c : List.copyOf(t.idle)) {
-            if (full && c == t.idle.peekLast() || now - c.lastActivity() >= REST_NS) {
-                c.catchUp();
-                if (!c.closed() && t.idle.remove(c)) {
-                    return c;
+        target.closeExpiredIdle(now);
+        boolean full = target.openConnections >= maxConnectionsPerTarget || openConnections >= maxConnections;
+        for (EgressConnection each : List.copyOf(target.idleConnections)) {
+            boolean lastResort = full && each == target.idleConnections.peekLast();
+            if (lastResort || now - each.lastActivity() >= REUSE_DELAY_NS) {
+                each.catchUp();
+                if (!each.closed() && target.idleConnections.remove(each)) {
+                    return each;
                 }
             }
         }
         return null;
     }
 
-    private boolean closeAnIdleOne() {
-        for (Target t : targets.values()) {
-            EgressConnection oldest = t.idle.pollLast();
+    /** Whether one more may be opened; at the bound an idle connection of any target is closed for it. */
+    private boolean hasRoomForConnection() {
+        return openConnections < maxConnections || closeOneIdle();
+    }
+
+    private boolean closeOneIdle() {
+        for (EgressTarget target : targets.values()) {
+            EgressConnection oldest = target.idleConnections.pollLast();
             if (oldest != null) {
                 oldest.close();
                 return true;
@@ -247,33 +243,33 @@
         return false;
     }
 
-    /** A connection has no exchange: the next that waits for one takes it. */
-    void idle(EgressConnection c) {
-        Target t = c.target();
-        if (c.closed()) {
+    /** A connection has no exchange: the next in its target's queue takes it. */
+    void connectionIdle(EgressConnection connection) {
+        EgressTarget target = connection.target();
+        if (connection.closed()) {
             return;
         }
-        if (t.gone) {
-            c.close();
+        if (target.removed) {
+            connection.close();
             return;
         }
-        for (Exchange next = poll(t); next != null; next = poll(t)) {
-            if (c.begin(next)) {
+        for (Exchange next = poll(target); next != null; next = poll(target)) {
+            if (connection.begin(next)) {
                 return;
             }
         }
-        t.busy.remove(c);
-        t.idle.addFirst(c);
-        sendQueuedAtTurnEnd(); // another executor's may wait for its descriptor
+        target.busyConnections.remove(connection);
+        target.idleConnections.addFirst(connection);
+        sendQueuedAtTurnEnd(); // another target's exchange may wait for its descriptor
     }
 
-    /** Not within: a long queue before a dead executor would nest as deep. */
+    /** Not at once: a long queue before a dead executor would recurse as deep. */
     private void sendQueuedAtTurnEnd() {
-        if (!queued.isEmpty() && !sendsAtTurnEnd) {
+        if (!queuedTargets.isEmpty() && !sendsAtTurnEnd) {
             sendsAtTurnEnd = true;
             loop.atTurnEnd(() -> {
                 sendsAtTurnEnd = false;
-                if (!pause.armed()) {
+                if (!retryTimer.armed()) {
                     sendQueued();
                 }
             });
@@ -281,50 +277,53 @@
     }
 
     /**
-     * A connection that had stood idle broke at its next request, which may have run for all that is known:
-     * those that stand so long are not used again, but closed in favour of new ones.
+     * A connection that had been idle for {@code idleNs} nanoseconds broke at its next request, which may have
+     * run for all that is known: connections idle for so long are closed from now on, not used again.
      */
-    void shortenIdleTimeout(Target t, long stoodIdleNs) {
-        if (stoodIdleNs >= LEAST_KEPT_NS) {
-            t.keepIdleNs = Math.max(LEAST_KEPT_NS, Math.min(t.keepIdleNs, stoodIdleNs * 3 / 4));
-            t.staleAt = loop.now();
+    void shortenIdleTimeout(EgressTarget target, long idleNs) {
+        if (idleNs >= MIN_IDLE_TIMEOUT_NS) {
+            target.idleTimeoutNs = Math.max(MIN_IDLE_TIMEOUT_NS, Math.min(target.idleTimeoutNs, idleNs * 3 / 4));
+            target.idleTimeoutChangedAt = loop.now();
         }
     }
 
-    void released(EgressConnection c) {
-        Target t = c.target();
-        t.open--;
-        open--;
-        t.idle.remove(c);
-        t.busy.remove(c);
+    /** A connection that was counted as open has closed. */
+    void connectionClosed(EgressConnection connection) {
+        EgressTarget target = connection.target();
+        target.openConnections--;
+        openConnections--;
+        target.idleConnections.remove(connection);
+        target.busyConnections.remove(connection);
         sendQueuedAtTurnEnd();
     }
 
-    int open() {
-        return open;
+    /** How many connections are open or being opened. */
+    int openConnections() {
+        return openConnections;
     }
 
-    void sweep(long now) {
-        for (Target t : targets.values()) {
-            if (t.keepIdleNs < keepIdleNs && now - t.staleAt > STALE_NS) {
-                t.keepIdleNs = Math.min(keepIdleNs, 2 * t.keepIdleNs);
-                t.staleAt = now;
-            }
-            while (!t.idle.isEmpty() && now - t.idle.peekLast().lastActivity() > t.keepIdleNs) {
-                t.idle.peekLast().close();
+    /** Applies the timeouts; called periodically, {@code nowNs} on the loop's clock. */
+    void sweep(long nowNs) {
+        for (EgressTarget target : targets.values()) {
+            if (target.idleTimeoutNs < maxIdleTimeoutNs
+                    && nowNs - target.idleTimeoutChangedAt > IDLE_TIMEOUT_RECOVERY_NS) {
+                target.idleTimeoutNs = Math.min(maxIdleTimeoutNs, 2 * target.idleTimeoutNs);
+                target.idleTimeoutChangedAt = nowNs;
             }
-            sweepBusy(t, now);
+            target.closeExpiredIdle(nowNs);
+            sweepBusy(target, nowNs);
         }
-        removed.removeIf(t -> t.open == 0);
-        List.copyOf(removed).forEach(t -> sweepBusy(t, now));
+        removedTargets.removeIf(target -> target.openConnections == 0);
+        List.copyOf(removedTargets).forEach(target -> sweepBusy(target, nowNs));
     }
 
-    private static void sweepBusy(Target t, long now) {
-        List.copyOf(t.busy).forEach(each -> each.sweep(now, STALL_NS));
+    private static void sweepBusy(EgressTarget target, long nowNs) {
+        List.copyOf(target.busyConnections).forEach(each -> each.sweep(nowNs, STALL_TIMEOUT_NS));
     }
 
+    /** Removes all targets; busy connections end with their exchanges. */
     void close() {
-        loop.timers.cancel(pause);
+        loop.timers.cancel(retryTimer);
         List.copyOf(targets.keySet()).forEach(this::remove);
     }
 }
--- a/src/main/java/beechseam/platform/Exchange.java
+++ b/src/main/java/beechseam/platform/Exchange.java
@@ -3,26 +3,35 @@
 import beechseam.http.HttpParser;
 import java.nio.ByteBuffer;
 
-/** One request to an executor and its answer. */
+/** One request to an executor and its response. It ends by exactly one callback, or without one if dropped. */
 abstract class Exchange {
-    /** Where it is under way, from its first byte to its answer. */
+    /** The connection that carries it, from the first byte of the request to the response; else null. */
     EgressConnection connection;
 
-    /** Asked just before the first byte: false drops it, and it sees itself to whom it owes word. */
-    abstract boolean wanted();
+    /**
+     * Called just before the first byte. False drops the exchange, which has then itself informed whoever
+     * waits for it.
+     */
+    abstract boolean tryBegin();
 
-    abstract ByteBuffer bytes();
+    /** The whole request, encoded at the last moment. */
+    abstract ByteBuffer encodeRequest();
 
-    /** Its last byte has gone. */
-    void written() {}
+    /** The last byte of the request has been handed to the kernel. */
+    void requestWritten() {}
 
-    /** Whether its answer, which has not come whole, is of no use any more. */
-    boolean outlived(long time) {
+    /** Whether a response that is not complete at {@code nowNs}, on the loop's clock, is of no use any more. */
+    boolean hasExpired(long nowNs) {
         return false;
     }
 
-    abstract void answered(HttpParser answer);
+    /** The response is complete; the parser holds it during this call only. */
+    abstract void responseReceived(HttpParser response);
 
-    /** No answer will come. */
-    abstract void broken(boolean neverRan);
+    /**
+     * No response will come.
+     *
+     * @param neverRan whether the executor cannot have seen the whole request
+     */
+    abstract void failed(boolean neverRan);
 }
--- a/src/main/java/beechseam/platform/JobMessage.java
+++ b/src/main/java/beechseam/platform/JobMessage.java
@@ -1,4 +1,10 @@
 package beechseam.platform;
 
-/** What of a client's request passes on to executors: copied, since it outlives the read buffer. */
+/**
+ * The part of a client's request that is forwarded to executors, copied because it outlives the read buffer.
+ *
+ * @param target the request target, path and query
+ * @param headers the forwarded header lines, each ended by CRLF
+ * @param body the body, empty where there is none
+ */
 record JobMessage(String target, String headers, byte[] body) {}
--- /dev/null
+++ b/src/main/java/beechseam/platform/Submission.java
@@ -0,0 +1,143 @@
+package beechseam.platform;
+
+import beechseam.config.ModuleOptions;
+import beechseam.core.Attempt;
+import beechseam.core.Engine;
+import beechseam.core.Timer;
+import beechseam.dispatch.Outcome;
+import beechseam.http.HttpParser;
+import beechseam.http.HttpWriter;
+import beechseam.http.Slice;
+import java.nio.ByteBuffer;
+
+/**
+ * The POST that submits an attempt to an executor. A 202 says that the executor holds the job; its outcome then
+ * comes by call-back. Any other response is the outcome.
+ */
+final class Submission extends Exchange {
+    private static final int ACCEPTED = 202;
+
+    private final EgressPool pool;
+    private final Engine engine;
+    private final ModuleOptions options;
+    private final Attempt attempt;
+    private final EgressTarget target;
+    private boolean accepted;
+    private boolean aborted;
+    /** When the last byte of the request had gone, on the loop's clock. */
+    private long writtenAt = Long.MAX_VALUE;
+
+    private final Timer acceptTimeout = new Timer() {
+        @Override
+        protected void fire() {
+            timedOut();
+        }
+    };
+
+    Submission(EgressPool pool, Engine engine, ModuleOptions options, Attempt attempt, EgressTarget target) {
+        this.pool = pool;
+        this.engine = engine;
+        this.options = options;
+        this.attempt = attempt;
+        this.target = target;
+    }
+
+    @Override
+    boolean tryBegin() {
+        return !aborted && engine.tryBegin(attempt);
+    }
+
+    @Override
+    ByteBuffer encodeRequest() {
+        attempt.awaitsConfirmation(true);
+        JobMessage message = (JobMessage) attempt.request.message;
+        long timeLeftMs = Math.max(1, (attempt.request.deadlineAt - engine.now()) / 1_000_000L);
+        return HttpWriter.request(
+                "POST",
+                message.target(),
+                target.host,
+                message.headers() + "X-Time-Left: " + timeLeftMs + "m\r\n",
+                message.body());
+    }
+
+    @Override
+    void requestWritten() {
+        engine.counters().of(attempt.request.jobClass).written++;
+        writtenAt = pool.loop.now();
+        pool.loop.timers.set(acceptTimeout, writtenAt + pool.connectTimeoutNs);
+    }
+
+    /** A close before the 202 cancels the job at the executor: only once the attempt has ended there. */
+    @Override
+    boolean hasExpired(long nowNs) {
+        return attempt.hasEnded() && nowNs - pool.connectTimeoutNs > writtenAt;
+    }
+
+    /** The connection or the machine has fallen silent: the job may have run, or may yet. */
+    private void timedOut() {
+        if (!attempt.hasEnded() && !attempt.acknowledged()) {
+            engine.counters().silent++;
+            abort();
+            engine.attemptEnded(attempt, Outcome.TIMEOUT, null, null);
+        }
+    }
+
+    @Override
+    void responseReceived(HttpParser response) {
+        pool.loop.timers.cancel(acceptTimeout);
+        int status = response.status();
+        if (status == ACCEPTED) {
+            accepted = true;
+            return;
+        }
+        Slice unprocessed = response.header("x-unprocessed");
+        attempt.awaitsConfirmation(attempt.acknowledged()); // the response ends it, unless call-backs have begun
+        boolean neverRan = (status == 503 || status == 504) && unprocessed != null && unprocessed.same("1");
+        engine.attemptEnded(
+                attempt,
+                neverRan ? Outcome.REJECTED : Outcome.ERROR,
+                null,
+                Wire.loadReport(options, response.header("x-backend-load")));
+    }
+
+    @Override
+    void failed(boolean neverRan) {
+        pool.loop.timers.cancel(acceptTimeout);
+        if (neverRan && !attempt.hasEnded()) {
+            attempt.awaitsConfirmation(false);
+        }
+        engine.attemptEnded(attempt, neverRan ? Outcome.UNREACHABLE : Outcome.LOST, null, null);
+    }
+
+    /**
+     * Asks the executor to hand the job back; the attempt ends once that is confirmed, since two calls to two
+     * executors may overtake each other and both would hold the job. Before the 202 there is nobody to confirm,
+     * and the timeout ends the attempt soon.
+     */
+    void recall() {
+        if (accepted && !aborted && !target.removed) {
+            cancelAtExecutor(() -> engine.attemptEnded(attempt, Outcome.CANCELLED, null, null));
+        }
+    }
+
+    /**
+     * Abandons the attempt. An accepted job is cancelled by DELETE. Before the 202 its connection is closed, to
+     * the same end: a machine that has vanished never responds, and its connections would be held for good.
+     */
+    void abort() {
+        if (aborted) {
+            return;
+        }
+        aborted = true;
+        pool.loop.timers.cancel(acceptTimeout);
+        if (accepted && !target.removed) {
+            cancelAtExecutor(() -> {});
+        } else if (connection != null) {
+            connection.abort();
+        }
+    }
+
+    private void cancelAtExecutor(Runnable onConfirmed) {
+        pool.send(target, new Cancellation(target, attempt.request.correlation, onConfirmed));
+    }
+}
--- a/src/main/java/beechseam/platform/Wire.java
+++ b/src/main/java/beechseam/platform/Wire.java
@@ -5,56 +5,65 @@
 import beechseam.http.Slice;
 import java.util.Map;
 
-/** Small forms of the platform's protocol. */
+/** Values of the platform's headers and events: durations, fields, ids and load reports. */
 final class Wire {
+    /** The body of a message without one. */
     static final byte[] NOTHING = new byte[0];
-    private static final double MAX_MINUTES_NS = 71 * 60e9;
+
+    private static final double MAX_DURATION_NS = 71 * 60e9;
 
     private Wire() {}
 
-    /** A time with its unit, {@code 480m} or {@code 1500u}, in nanoseconds; -1 when it is none. */
-    static long time(Slice s) {
-        if (s == null || s.length() < 2) {
+    /** A duration with its unit, {@code 480m} or {@code 1500u}, in nanoseconds; -1 where it is none or null. */
+    static long durationNs(Slice text) {
+        if (text == null || text.length() < 2) {
             return -1;
         }
-        char unit = (char) s.bytes()[s.from() + s.length() - 1];
-        double scale = unit == 'm' ? 1e6 : unit == 'u' ? 1e3 : -1;
-        double value = decimal(s.part(0, s.length() - 1));
-        return scale < 0 || !(value > 0) ? -1 : (long) Math.min(MAX_MINUTES_NS, value * scale);
+        double unitNs = unitNs((char) text.bytes()[text.from() + text.length() - 1]);
+        double value = unsignedDecimal(text.part(0, text.length() - 1));
+        return unitNs < 0 || !(value > 0) ? -1 : (long) Math.min(MAX_DURATION_NS, value * unitNs);
+    }
+
+    private static double unitNs(char unit) {
+        return switch (unit) {
+            case 'm' -> 1e6;
+            case 'u' -> 1e3;
+            default -> -1;
+        };
     }
 
-    private static double decimal(Slice s) {
-        for (int i = 0; i < s.length(); i++) {
-            byte c = s.bytes()[s.from() + i];
+    private static double unsignedDecimal(Slice text) {
+        for (int i = 0; i < text.length(); i++) {
+            byte c = text.bytes()[text.from() + i];
             if ((c < '0' || c > '9') && c != '.') {
                 return Double.NaN;
             }
         }
-        return number(s.toString(), Double.NaN);
+        return parseDouble(text.toString());
     }
 
-    static double number(String s, double otherwise) {
+    private static double parseDouble(String text) {
         try {
-            return Double.parseDouble(s);
+            return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            return otherwise;
+            return Double.NaN;
         }
     }
 
-    /** The value of a name in {@code name=value,name=value}, or NaN. */
-    static double fact(Slice facts, String name) {
-        if (facts != null) {
-            for (String each : facts.toString().split(",")) {
+    /** The value of a name in {@code name=value,name=value}; NaN where it is missing or no number. */
+    static double fieldValue(Slice fields, String name) {
+        if (fields != null) {
+            for (String each : fields.toString().split(",")) {
                 int equals = each.indexOf('=');
                 if (equals > 0 && each.substring(0, equals).trim().equals(name)) {
-                    return number(each.substring(equals + 1).trim(), Double.NaN);
+                    return parseDouble(each.substring(equals + 1).trim());
                 }
             }
         }
         return Double.NaN;
     }
 
-    /** An executor's id as the number that all nodes have for it; -1 when it is malformed. */
+    /** An executor's id as the number that all nodes use for it; -1 where it is malformed or null. */
     static long target(String id) {
         if (id == null) {
             return -1;
@@ -66,15 +75,16 @@
         }
     }
 
-    /** A report in a header, or null. */
-    static LoadReport load(ModuleOptions options, Slice header) {
-        return header == null ? null : options.load(name -> fact(header, name));
+    /** The load report in a header; null where there is none or it makes no sense. */
+    static LoadReport loadReport(ModuleOptions options, Slice header) {
+        return header == null ? null : options.load(name -> fieldValue(header, name));
     }
 
-    /** A report in a call-back or a probe's answer, or null. */
-    static LoadReport load(ModuleOptions options, Map<?, ?> report) {
-        return report == null || report.isEmpty()
-                ? null
-                : options.load(name -> report.get(name) instanceof Number n ? n.doubleValue() : Double.NaN);
+    /** The load report in a call-back or the response to a health check; null as above. */
+    static LoadReport loadReport(ModuleOptions options, Map<?, ?> report) {
+        if (report == null || report.isEmpty()) {
+            return null;
+        }
+        return options.load(name -> report.get(name) instanceof Number number ? number.doubleValue() : Double.NaN);
     }
 }
--- a/src/test/java/beechseam/platform/EgressPoolTest.java
+++ b/src/test/java/beechseam/platform/EgressPoolTest.java
@@ -27,22 +27,22 @@
         private boolean broken;
 
         @Override
-        boolean wanted() {
+        boolean tryBegin() {
             return true;
         }
 
         @Override
-        ByteBuffer bytes() {
+        ByteBuffer encodeRequest() {
             return HttpWriter.request("GET", "/_load", "x", "", Wire.NOTHING);
         }
 
         @Override
-        void answered(HttpParser answer) {
+        void responseReceived(HttpParser response) {
             answered = true;
         }
 
         @Override
-        void broken(boolean neverRan) {
+        void failed(boolean neverRan) {
             broken = true;
         }
     }
@@ -77,7 +77,7 @@
     /** All connections are taken, none of them to the second executor: it gets the next that is free. */
     @Test
     void whatBecomesFreeAtOneExecutorServesThoseThatWaitAtAnother() {
-        pool.bound(2, 2);
+        pool.setLimits(2, 2);
         executor();
         executor();
         Call first = send(0);
@@ -90,14 +90,14 @@
         net.until("the answer", () -> first.answered);
         asked(1, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         net.until("the other's answer", () -> other.answered);
-        assertEquals(2, pool.open());
+        assertEquals(2, pool.openConnections());
         assertTrue(!second.answered && !second.broken);
     }
 
     /** The same where the connection breaks, and where many wait. */
     @Test
     void whatBreaksAtOneExecutorMakesRoomAtOthers() {
-        pool.bound(1, 1);
+        pool.setLimits(1, 1);
         for (int i = 0; i < 5; i++) {
             executor();
         }
@@ -113,6 +113,6 @@
             net.until("answer " + i, () -> call.answered);
         }
         assertTrue(lost.broken);
-        assertEquals(1, pool.open());
+        assertEquals(1, pool.openConnections());
     }
 }
--- a/src/test/java/beechseam/platform/PlatformNodeTest.java
+++ b/src/test/java/beechseam/platform/PlatformNodeTest.java
@@ -478,12 +478,12 @@
         done("c1", "one");
         String one = heard(client, "one");
         // The other nodes may be away as well: who is connected is sent away only when time is nearly up.
-        assertTrue(node.leaving() || !one.contains("Connection: close\r\n"), one);
+        assertTrue(node.isDraining() || !one.contains("Connection: close\r\n"), one);
         rested();
         Peer late = ask("c2", "once", "30000m");
         attempt(0, "c2");
         executor.get(0).say(answer("202 Accepted", ""));
-        net.until("the time to leave", node::leaving);
+        net.until("the time to leave", node::isDraining);
         assertFalse(stopped, "a job is open");
         net.until("the idle client sent away", () -> client.gone);
         done("c2", "two");
@@ -515,7 +515,7 @@
         assertTrue(heard(second, "two").contains("Connection: close\r\n"));
         net.until("idle and silent ones away", () -> idle.gone && silent.gone);
         assertTrue(System.nanoTime() - start < 3_500_000_000L, "in time");
-        net.until("the time to shed", node::shedding);
+        net.until("the time to shed", node::shedsNewJobs);
         Peer late = ask("c3", "once", "30000m");
         net.until("shed", () -> late.gone);
         assertTrue(late.heard().startsWith("HTTP/1.1 503") && late.heard().contains("Connection: close"));
@@ -552,7 +552,7 @@
         operator(node.console(), "maint-on s-0badcafe");
         assertEquals(List.of("1", "0", "1", "7", "8", "1", "1"), figures("once"));
         operator(node.console(), "standby");
-        net.until("the time to shed", node::shedding);
+        net.until("the time to shed", node::shedsNewJobs);
         Peer late = ask("late", "safe", "30000m");
         net.until("shed", () -> late.gone);
         assertEquals(List.of("0", "1", "0", "0"), figures("safe").subList(0, 4));
--- a/src/test/java/beechseam/platform/RaceConditionTest.java
+++ b/src/test/java/beechseam/platform/RaceConditionTest.java
@@ -477,7 +477,7 @@
         listed(SETTINGS, false);
         Peer resting = connected();
         node.stop(() -> stopped = true);
-        net.until("the time to leave", node::leaving); // the next look at resting connections closes it
+        net.until("the time to leave", node::isDraining); // the next look at resting connections closes it
         resting.say(job("c1", "once"));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         done("c1", "through");
--- a/src/test/java/beechseam/platform/StarterTest.java
+++ b/src/test/java/beechseam/platform/StarterTest.java
@@ -73,7 +73,7 @@
             net.until("an answer meanwhile", () -> health.heard().endsWith("ready\n"));
             Files.writeString(config, text, StandardOpenOption.WRITE);
             if (signal) {
-                net.until("the reload", () -> said(dir).contains("reload: done"));
+                net.until("the reload", () -> said(dir).contains("reload applied"));
             }
             assertTrue(serving.isAlive());
         } finally {
