--- a/src/main/java/beechseam/platform/Discovery.java
+++ b/src/main/java/beechseam/platform/Discovery.java
@@ -23,19 +23,26 @@
 import java.util.Set;
 
 /**
- * Keeps the route table up to date from discovery's lists. While discovery is silent the node serves by what
- * it holds. The address may change meanwhile. When to ask what is {@link ListWatch}'s to decide.
+ * Keeps the route table up to date from discovery's lists, over HTTP. During an outage of discovery the node
+ * serves by the cached list. Discovery's address may change at any time. {@link ListWatch} decides when to
+ * poll; this class is its transport and applies the lists.
  */
 final class Discovery implements ListWatch.Transport {
     private static final Logger LOG = System.getLogger(Discovery.class.getName());
-    /** A call that may not wait says so: news is there, or there is none. */
-    private static final long LEAST_WAIT_MS = 1;
-    /** So often at most the configuration is looked at again; far less than what a moved address is given. */
-    private static final long REREAD_INTERVAL_NS = 1_000_000_000L;
+    /** Wait of a call that is to be answered immediately. */
+    private static final long MIN_WAIT_MS = 1;
+    /** Shortest interval between reloads of the configuration, well below the time to follow an address change. */
+    private static final long MIN_RELOAD_INTERVAL_NS = 1_000_000_000L;
 
-    private static final String ENTRIES = "entries";
-    /** The longest list in bytes: some 20,000 entries as discovery writes them, 10,000 of them indented. */
-    static final int MAX_LIST = 4 * 1024 * 1024;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final int FIRST_FINAL_STATUS = 200;
+    private static final int STATUS_OK = 200;
+    /** Causes of {@link #warnOnce}. */
+    private static final String CAUSE_ENTRIES = "entries";
+
+    private static final String CAUSE_CONTENT = "content";
+    /** Limit of a list in bytes: some 20,000 entries as discovery writes them, 10,000 if indented. */
+    static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     private final EventLoop loop;
     private final Engine engine;
@@ -46,12 +53,16 @@
     private InetSocketAddress address;
     private String host;
     private PlatformNode.Configuration configuration;
-    private long rereadAt;
-    private boolean rereading;
-    /** Complaints of lists that have been logged since the last one that could be used. */
-    private final Set<String> complaints = new HashSet<>();
+    private long reloadedAt;
+    private boolean reloading;
+    /** Causes already reported since the last usable list. */
+    private final Set<String> reportedCauses = new HashSet<>();
 
-    /** {@code drainGraceNs}: see {@link ListWatch}. */
+    /**
+     * @param address where discovery listens
+     * @param host the same as text, for the Host header
+     * @param drainGraceNs see {@link ListWatch}
+     */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -70,83 +81,87 @@
         startTimes = new ServerStartTimes(loop::now, System::currentTimeMillis);
     }
 
-    /** The list as held before the start: it may be old, so the whole list is asked for all the same. */
+    /** Starts from a cached list, which may be stale: the full list is requested nevertheless. */
     void start(MemberList known) {
         if (!known.servers().isEmpty()) {
-            take(known, EndpointUpdate.CACHED);
+            apply(known, EndpointUpdate.CACHED);
         }
         watch.start(known);
     }
 
-    /** Whether discovery has answered since the start. */
+    /** Whether a list of discovery has been applied since the start. */
     boolean isSynced() {
         return watch.isSynced();
     }
 
-    /** Whether the route table may be acted on. */
+    /** Whether the route table is current enough to send by. */
     RouteTableFreshness freshness() {
         return watch.freshness();
     }
 
     /**
-     * Discovery is elsewhere from now on. The route table stays as it is until the whole list has come from
-     * there: another address may count its versions otherwise, and what its list lacks must go.
+     * Changes discovery's address; no effect if it is the same. The route table stays in effect until the full
+     * list has been received from there: versions of another address may be counted differently, and entries
+     * that its list lacks must be removed.
      */
     void move(InetSocketAddress to, String toHost) {
         if (to.equals(address)) {
             return;
         }
-        LOG.log(Level.INFO, "discovery: moves from " + host + " to " + toHost);
+        LOG.log(Level.INFO, "discovery address changed from=" + host + " to=" + toHost);
         address = to;
         host = toHost;
-        watch.moved();
+        watch.addressChanged();
     }
 
+    /** Cancels all calls; none is made any more. */
     void stop() {
         watch.stop();
     }
 
-    /** Where the address may be looked up again, when nobody is at the one that this node was told of. */
-    void configuration(PlatformNode.Configuration theConfiguration) {
-        configuration = theConfiguration;
+    /** Sets the configuration from which the address is reloaded when a connection to it fails. */
+    void configuration(PlatformNode.Configuration source) {
+        configuration = source;
     }
 
     /**
-     * Its address refuses or resets: discovery may have moved, and word of that may not have come. A signal
-     * finds a process that has read its file and is not up yet, or a file that is only half written; asking
-     * at the old address would then go on for good.
+     * Reloads the address after a connection failure: discovery may have moved without this node noticing.
+     * The reload signal may reach a process that has read its file and is not up yet, or find a file half
+     * written; polls would then go to the old address forever.
      */
-    private void rereadAddress() {
-        if (configuration == null || rereading || loop.now() - rereadAt < REREAD_INTERVAL_NS) {
+    private void reloadAddress() {
+        if (configuration == null || reloading || loop.now() - reloadedAt < MIN_RELOAD_INTERVAL_NS) {
             return;
         }
-        rereading = true;
+        reloading = true;
         loop.callAside(
                 configuration::read,
-                now -> {
-                    reread();
-                    move(now.discovery(), now.discoveryHost());
+                latest -> {
+                    reloadFinished();
+                    move(latest.discovery(), latest.discoveryHost());
                 },
-                why -> {
-                    reread();
-                    LOG.log(Level.WARNING, "discovery is not at " + host + ", and " + why.getMessage());
+                error -> {
+                    reloadFinished();
+                    LOG.log(
+                            Level.WARNING,
+                            "discovery address reload failed address=" + host + " reason=" + error.getMessage());
                 });
     }
 
-    private void reread() {
-        rereading = false;
-        rereadAt = loop.now();
+    private void reloadFinished() {
+        reloading = false;
+        reloadedAt = loop.now();
     }
 
     @Override
-    public void ask(ListWatch.Call call, ListWatch.Call before) {
-        AgentConnection open = before == null ? null : (AgentConnection) before.connection;
+    public void poll(ListWatch.Call call, ListWatch.Call predecessor) {
+        AgentConnection reusable = predecessor == null ? null : (AgentConnection) predecessor.connection;
         try {
-            AgentConnection connection = open != null && !open.closed() ? open : new AgentConnection();
+            AgentConnection connection = reusable != null && !reusable.closed() ? reusable : new AgentConnection();
             call.connection = connection;
-            connection.ask(call);
+            connection.poll(call);
         } catch (IOException e) { // out of descriptors
-            watch.failed(call, e.getMessage());
+            watch.onFailure(call, e.getMessage());
         }
     }
 
@@ -158,79 +173,80 @@
     }
 
     @Override
-    public void failed(String why, boolean first) {
-        LOG.log(first ? Level.INFO : Level.DEBUG, "discovery: " + why + "; asking again");
+    public void onPollFailure(String reason, boolean first) {
+        LOG.log(first ? Level.INFO : Level.DEBUG, "discovery poll failed reason=" + reason);
     }
 
-    /** Logs a list that cannot be used, or not all of it, once for each {@code cause}. */
-    private void complain(String cause, String what) {
-        LOG.log(complaints.add(cause) ? Level.WARNING : Level.DEBUG, "discovery: " + what);
+    /** Logs an unusable list or entry as a warning, but only once for each {@code cause} until a usable list. */
+    private void warnOnce(String cause, String message) {
+        LOG.log(reportedCauses.add(cause) ? Level.WARNING : Level.DEBUG, message);
     }
 
     @Override
     public boolean readUnread(ListWatch.Call call) {
-        boolean any = false;
+        boolean hadUnread = false;
         if (call.connection instanceof AgentConnection connection) {
             while (connection.call == call && connection.catchUp()) {
-                any = true;
+                hadUnread = true;
             }
         }
-        return any;
+        return hadUnread;
     }
 
     @Override
-    public void take(MemberList list, EndpointUpdate form) {
-        List<WorkerEndpoint> lines = new ArrayList<>();
-        Set<Long> named = new HashSet<>();
+    public void apply(MemberList list, EndpointUpdate update) {
+        List<WorkerEndpoint> entries = new ArrayList<>();
+        Set<Long> targets = new HashSet<>();
         Set<String> ids = new HashSet<>(list.unusable());
-        startTimes.begin(form == EndpointUpdate.CACHED);
-        for (MemberList.Server s : list.servers()) {
-            long id = Wire.target(s.id());
+        startTimes.beginUpdate(update == EndpointUpdate.CACHED);
+        for (MemberList.Server server : list.servers()) {
+            long id = Wire.target(server.id());
             if (id < 0) {
-                LOG.log(Level.WARNING, "a server without a proper id: " + s.id());
+                LOG.log(Level.WARNING, "discovery entry ignored reason=invalid_id id=" + server.id());
                 continue;
             }
-            maintenance.listed(s.id(), id);
-            lines.add(s.worker(id, startTimes.of(s)));
-            ids.add(s.id());
-            if (s.state() != EndpointState.REMOVED) {
-                named.add(id);
-                pool.put(id, s.addr(), s.address());
+            maintenance.listed(server.id(), id);
+            entries.add(server.worker(id, startTimes.startedAtNs(server)));
+            ids.add(server.id());
+            if (server.state() != EndpointState.REMOVED) {
+                targets.add(id);
+                pool.put(id, server.addr(), server.address());
             }
         }
-        for (String each : list.unusable()) { // what is held of it stays
-            WorkerEndpoint held = engine.routeTable().listed(Wire.target(each));
-            if (held != null && named.add(held.id())) {
-                lines.add(held);
+        for (String each : list.unusable()) { // the current entry stays in effect
+            WorkerEndpoint current = engine.routeTable().listed(Wire.target(each));
+            if (current != null && targets.add(current.id())) {
+                entries.add(current);
             }
         }
-        engine.updateEndpoints(form, lines);
-        if (form != EndpointUpdate.DELTA) {
-            pool.retain(named);
+        engine.updateEndpoints(update, entries);
+        if (update != EndpointUpdate.DELTA) {
+            pool.retain(targets);
             startTimes.retain(ids);
         } else {
-            lines.stream()
+            entries.stream()
                     .filter(each -> each.state() == EndpointState.REMOVED)
                     .forEach(each -> pool.remove(each.id()));
         }
     }
 
-    /** A connection to discovery, with one call out or none. */
+    /** A connection to discovery with at most one pending call. */
     private final class AgentConnection extends Connection {
-        private final HttpParser parser = new HttpParser(false, MAX_LIST);
+        private final HttpParser parser = new HttpParser(false, MAX_LIST_BYTES);
         private ListWatch.Call call;
-        /** Some entries of the list read last made no sense. */
-        private boolean partly;
+        /** Some entries of the last list were invalid. */
+        private boolean partiallyUsable;
 
         AgentConnection() throws IOException {
-            super(Discovery.this.loop, null, HttpParser.maxMessage(MAX_LIST));
+            super(Discovery.this.loop, null, HttpParser.maxMessage(MAX_LIST_BYTES));
         }
 
-        void ask(ListWatch.Call next) {
+        void poll(ListWatch.Call next) {
             call = next;
-            long waitMs = Math.max(LEAST_WAIT_MS, next.waitNs / 1_000_000L);
-            String target =
-                    next.after < 0 ? "/catalog/members" : "/catalog/members?after=" + next.after + "&wait_ms=" + waitMs;
+            long waitMs = Math.max(MIN_WAIT_MS, next.waitNs / NANOS_PER_MS);
+            String target = next.sinceVersion < 0
+                    ? "/catalog/members"
+                    : "/catalog/members?after=" + next.sinceVersion + "&wait_ms=" + waitMs;
             write(HttpWriter.request("GET", target, host, "", Wire.NOTHING));
             if (connecting()) {
                 connect(address);
@@ -240,86 +256,86 @@
         @Override
         protected void connected() {
             if (call != null) {
-                watch.sent(call);
+                watch.onSent(call);
             }
         }
 
         @Override
         protected void received(ByteBuffer in) {
             if (call != null) {
-                watch.heard(call);
+                watch.recordProgress(call);
             }
             try {
                 while (in.hasRemaining() && !closed()) {
-                    if (call == null) { // an answer to nothing: its frame is lost
+                    if (call == null) { // an unsolicited response: the framing is lost
                         close();
                     } else if (!parser.parse(in)) {
                         return;
-                    } else if (parser.status() >= 200) {
-                        answered(in.hasRemaining());
+                    } else if (parser.status() >= FIRST_FINAL_STATUS) {
+                        onResponse(in.hasRemaining());
                     }
                 }
             } catch (HttpException e) {
-                unusable("status " + e.status, e.getMessage());
+                rejectResponse("status " + e.status, "malformed_response detail=" + e.getMessage());
             }
         }
 
-        /** A list that cannot be used changes nothing, and counts as a failed call. */
-        private void answered(boolean more) {
-            if (!parser.keepAlive() || parser.untilClose() || more) {
+        /** An unusable list has no effect and counts as a failed call. */
+        private void onResponse(boolean trailingBytes) {
+            if (!parser.keepAlive() || parser.untilClose() || trailingBytes) {
                 close();
             }
-            if (parser.status() != 200) {
-                unusable("answer " + parser.status(), "status " + parser.status());
+            if (parser.status() != STATUS_OK) {
+                rejectResponse("answer " + parser.status(), "http_status status=" + parser.status());
                 return;
             }
             MemberList list;
             try {
-                list = read();
+                list = parseList();
             } catch (IOException e) {
-                unusable(
-                        "content",
-                        "an answer of " + parser.body().length() + " bytes that is no list: "
+                rejectResponse(
+                        CAUSE_CONTENT,
+                        "invalid_list bytes=" + parser.body().length() + " detail="
                                 + e.getMessage().lines().findFirst().orElse(""));
                 return;
             }
-            complaints.retainAll(partly ? Set.of(ENTRIES) : Set.of());
-            ListWatch.Call done = call;
+            reportedCauses.retainAll(partiallyUsable ? Set.of(CAUSE_ENTRIES) : Set.of());
+            ListWatch.Call completed = call;
             call = null;
-            watch.answered(done, list);
+            watch.onResponse(completed, list);
         }
 
-        private MemberList read() throws IOException {
-            Object tree = Json.parse(
+        private MemberList parseList() throws IOException {
+            Object document = Json.parse(
                     parser.body().bytes(), parser.body().from(), parser.body().length());
-            if (!(tree instanceof Map<?, ?> map)) {
+            if (!(document instanceof Map<?, ?> map)) {
                 throw new IOException("not an object");
             }
-            partly = false;
-            return MemberList.of(map, what -> {
-                partly = true;
-                complain(ENTRIES, what);
+            partiallyUsable = false;
+            return MemberList.of(map, detail -> {
+                partiallyUsable = true;
+                warnOnce(CAUSE_ENTRIES, "discovery entries ignored detail=" + detail);
             });
         }
 
-        private void unusable(String cause, String why) {
-            complain(cause, why + "; the list as held stays");
-            callFailed(why);
+        private void rejectResponse(String cause, String reason) {
+            warnOnce(cause, "discovery list rejected reason=" + reason);
+            failCall(reason);
         }
 
-        private void callFailed(String why) {
+        private void failCall(String reason) {
             ListWatch.Call failed = call;
             call = null;
             close();
             if (failed != null) {
-                watch.failed(failed, why);
+                watch.onFailure(failed, reason);
             }
         }
 
         @Override
-        protected void lost(IOException why) {
-            callFailed(why.getMessage());
-            rereadAddress();
+        protected void lost(IOException cause) {
+            failCall(cause.getMessage());
+            reloadAddress();
         }
     }
 }
--- a/src/main/java/beechseam/platform/ListWatch.java
+++ b/src/main/java/beechseam/platform/ListWatch.java
@@ -9,69 +9,81 @@
 import java.util.function.LongSupplier;
 
 /**
- * Which calls discovery gets, and when; it knows no wire. The whole list once, then one watch after the other
- * without a gap.
+ * Client side of discovery's list-watch protocol: decides which call is made and when, independent of the
+ * transport. The full list is fetched once, then long polls follow each other without a gap.
  *
- * <p>A change counts as told {@link #PROPAGATION_LIMIT_NS} after discovery had it and could be reached,
- * whatever has failed, and at once where discovery comes back from a silence. All times here are made of
- * these two. A watch waits for a third of the limit, so a silent one is noticed with most of it left. From
- * the first failure on a call is made every half drain grace, none of which may wait, each on a connection
- * of its own and beside those not answered yet (a hedged request): the first answer ends them all. The
- * interval does not grow: the address is an agent's on this machine, which answers at no cost, and a longer
- * interval could outlast its silence.
+ * <p>A change must be applied within {@link #PROPAGATION_LIMIT_NS} after discovery had it and was reachable,
+ * and at once when discovery recovers from an outage; all timeouts here derive from this limit and the drain
+ * grace. A long poll waits for a third of the limit, so that one without a response is detected with most of
+ * the limit left. From the first failure on, a call that does not wait is made every half drain grace, each
+ * on its own connection and in parallel to the pending ones (a hedged request): the first response cancels
+ * the others. There is no backoff: the address is an agent's on this machine, where a poll is cheap, and a
+ * longer interval could outlast its outage.
  */
 final class ListWatch {
-    /** The platform's term: news counts as told so long after discovery had it and could be reached. */
+    /** Set by the platform: a change must be applied within this time after discovery had it and was reachable. */
     static final long PROPAGATION_LIMIT_NS = 6_000_000_000L;
 
+    /** How long discovery may hold a long poll without a change. */
     static final long WATCH_WAIT_NS = PROPAGATION_LIMIT_NS / 3;
-    /** An answer that is due may be late by so much, and still be the first. */
-    static final long ANSWER_TIMEOUT_NS = PROPAGATION_LIMIT_NS / 6;
-    /** No deployment's grace makes the calls denser than this, and none makes them rarer. */
+    /** How late a response may be before the call is given up. */
+    static final long RESPONSE_TIMEOUT_NS = PROPAGATION_LIMIT_NS / 6;
+    /** Bounds of the retry interval, whatever the deployment's drain grace. */
     static final long MIN_RETRY_INTERVAL_NS = 50_000_000L;
 
     static final long MAX_RETRY_INTERVAL_NS = PROPAGATION_LIMIT_NS / 24;
-    /** Calls out at a time; each may hold a descriptor. */
+    /** Calls pending at a time; each may hold a descriptor. */
     static final int MAX_PENDING_CALLS = 8;
+    /** In place of a version: the call asks for the full list. */
+    static final long FULL_LIST = -1;
 
-    /** What carries the calls. */
+    /** Carries the calls and applies their results. */
     interface Transport {
         /**
-         * Makes the call; {@code before} was answered in this turn and leaves its connection, or is null.
-         * Owes {@link #answered} or {@link #failed} once, at once or later, unless it is cancelled.
+         * Starts the call. Must lead to {@link #onResponse} or {@link #onFailure} exactly once, immediately
+         * or later, unless the call is cancelled.
+         *
+         * @param predecessor a call that has just completed, whose connection may be reused; or null
          */
-        void ask(Call call, Call before);
+        void poll(Call call, Call predecessor);
 
-        /** The call's answer is not wanted any more. */
+        /** Cancels a pending call; its response is no longer wanted. */
         void cancel(Call call);
 
-        /** A list, or what has changed in it. */
-        void take(MemberList list, EndpointUpdate form);
+        /** Applies the full list, or a delta to the list applied before. */
+        void apply(MemberList list, EndpointUpdate update);
 
-        /** For the log: the first of a row of failures, or a further one. */
-        void failed(String why, boolean first);
+        /**
+         * Logs a failure.
+         *
+         * @param first false where the calls before have failed too
+         */
+        void onPollFailure(String reason, boolean first);
 
-        /** Takes in what has come for the call and is unread. Whether anything had. */
+        /** Reads what has arrived for the call and is unread; returns whether there was any. */
         boolean readUnread(Call call);
     }
 
-    /** A call that is out. {@code after} is the version it asks from, or -1 for the whole list. */
+    /**
+     * A pending call. {@code sinceVersion} is the version whose successors it asks for, or {@link #FULL_LIST};
+     * {@code waitNs} is how long discovery may hold it, in nanoseconds.
+     */
     static final class Call {
-        final long after;
+        final long sinceVersion;
         final long waitNs;
-        private final long askedAt;
+        private final long startedAt;
         private long sentAt;
-        /** When the first and the last bytes of its answer came; 0 before the first. */
-        private long firstHeardAt;
+        /** When the first and the last bytes of the response were read, in nanoseconds; 0 before the first. */
+        private long firstByteAt;
 
-        private long lastHeardAt;
-        /** What the transport keeps of it. */
+        private long lastByteAt;
+        /** Reserved for the transport. */
         Object connection;
 
-        private Call(long after, long waitNs, long now) {
-            this.after = after;
+        private Call(long sinceVersion, long waitNs, long now) {
+            this.sinceVersion = sinceVersion;
             this.waitNs = waitNs;
-            askedAt = now;
+            startedAt = now;
             sentAt = now;
         }
 
@@ -79,14 +91,14 @@
             return sentAt + waitNs;
         }
 
-        /** An answer that goes on coming is waited for, however long the list is. */
-        private boolean isOverdue(long now) {
-            return now >= Math.max(dueAt(), lastHeardAt) + ANSWER_TIMEOUT_NS;
+        /** A response that makes progress does not time out, however long the list is. */
+        private boolean hasTimedOut(long now) {
+            return now >= Math.max(dueAt(), lastByteAt) + RESPONSE_TIMEOUT_NS;
         }
 
-        /** A watch answered with nothing, long before its time: made again at once it would be all we do. */
-        private boolean answeredWithoutWaiting(MemberList list, long now) {
-            return list.version() == after && list.servers().isEmpty() && now < askedAt + waitNs / 2;
+        /** An empty response to a long poll, long before its time: repeated immediately it would be a busy loop. */
+        private boolean respondedWithoutWaiting(MemberList list, long now) {
+            return list.version() == sinceVersion && list.servers().isEmpty() && now < startedAt + waitNs / 2;
         }
     }
 
@@ -98,61 +110,66 @@
     private final Timer retryTimer = new Timer() {
         @Override
         protected void fire() {
-            overdue();
+            onTimeout();
         }
     };
-    /** The whole list has come from this address: only then do its versions and ours mean the same. */
+    /** The full list has been received from this address: versions of different addresses do not compare. */
     private boolean hasFullList;
-    /** The last call was answered: the next may wait. */
+    /** The last call succeeded: the next may be a long poll. */
     private boolean healthy;
 
-    private boolean held;
+    private boolean synced;
     private boolean stopped;
     private boolean failing;
     private long version;
     private final RouteTableFreshness freshness;
 
-    /** {@code drainGraceNs}: what the rules give between the news of a drain and the last send. */
+    /**
+     * @param clock steady clock, in nanoseconds
+     * @param drainGraceNs time that the rules allow between the notice of a drain and the last send
+     */
     ListWatch(LongSupplier clock, Timers timers, long drainGraceNs, Transport transport) {
         this.clock = clock;
         this.timers = timers;
         this.transport = transport;
         retryIntervalNs = Math.max(MIN_RETRY_INTERVAL_NS, Math.min(MAX_RETRY_INTERVAL_NS, drainGraceNs / 2));
-        long stallNs = Math.max(MIN_RETRY_INTERVAL_NS, drainGraceNs * 2 / 3); // the rest is a call's way
-        freshness = new RouteTableFreshness(clock, timers, stallNs, ANSWER_TIMEOUT_NS, this::readUnread, this::recheck);
+        long stallNs =
+                Math.max(MIN_RETRY_INTERVAL_NS, drainGraceNs * 2 / 3); // the rest is left for a call's round trip
+        freshness =
+                new RouteTableFreshness(clock, timers, stallNs, RESPONSE_TIMEOUT_NS, this::readUnread, this::recheck);
     }
 
-    /** Whether the list may be acted on. */
+    /** Whether the list is current enough to act on. */
     RouteTableFreshness freshness() {
         return freshness;
     }
 
-    /** From a list as held before: it may be old, so the whole list is asked for all the same. */
+    /** Starts from a cached list, which may be stale: the full list is requested nevertheless. */
     void start(MemberList known) {
         version = known.version();
         freshness.start();
-        call(null);
+        startCall(null);
     }
 
-    /** Whether discovery has answered since the start. */
+    /** Whether a response has been applied since the start. */
     boolean isSynced() {
-        return held;
+        return synced;
     }
 
-    /** The transport leads elsewhere from now on, where versions may be counted otherwise. */
-    void moved() {
+    /** The transport uses another address from now on, whose versions may be counted differently. */
+    void addressChanged() {
         hasFullList = false;
         healthy = false;
-        cancel();
-        freshness.moved();
-        call(null);
+        cancelAll();
+        freshness.addressChanged();
+        startCall(null);
     }
 
-    /** What has been told may be old: a call is made that may not wait, beside those that are out. */
+    /** The list may be stale: makes a call that does not wait, in parallel to the pending ones. */
     private void recheck() {
-        if (pending.stream().noneMatch(each -> each.waitNs == 0 && freshness.confirms(each.askedAt))) {
+        if (pending.stream().noneMatch(each -> each.waitNs == 0 && freshness.confirms(each.startedAt))) {
             healthy = false;
-            call(null);
+            startCall(null);
         }
     }
 
@@ -164,113 +181,113 @@
         return any;
     }
 
+    /** Cancels all calls; none is made any more. */
     void stop() {
         stopped = true;
         freshness.stop();
         timers.cancel(retryTimer);
-        cancel();
+        cancelAll();
     }
 
-    void answered(Call call, MemberList list) {
+    /** The call has completed with a list; ignored unless the call is pending. */
+    void onResponse(Call call, MemberList list) {
         if (!pending.remove(call)) {
             return;
         }
         boolean changes = !list.full();
-        if (changes && list.version() < call.after) {
-            hasFullList = false; // changes to a list that we do not hold
-            failed("changes up to version " + list.version() + ", asked for those after " + call.after);
+        if (changes && list.version() < call.sinceVersion) {
+            hasFullList = false; // a delta to a list that we do not have
+            retryLater("stale_delta version=" + list.version() + " since_version=" + call.sinceVersion);
             return;
         }
-        cancel();
+        cancelAll();
         version = list.version();
         hasFullList = true;
-        held = true;
-        transport.take(list, changes ? EndpointUpdate.DELTA : EndpointUpdate.SNAPSHOT);
+        synced = true;
+        transport.apply(list, changes ? EndpointUpdate.DELTA : EndpointUpdate.SNAPSHOT);
         failing = false;
-        // After an answer that came late the next call may not wait.
-        healthy = freshness.answered(call.askedAt, call.firstHeardAt);
-        if (changes && call.answeredWithoutWaiting(list, clock.getAsLong())) {
-            failed("a watch that does not wait");
+        // After a late response the next call may not wait.
+        healthy = freshness.onResponse(call.startedAt, call.firstByteAt);
+        if (changes && call.respondedWithoutWaiting(list, clock.getAsLong())) {
+            retryLater("watch_returned_early");
         } else {
-            call(call);
+            startCall(call);
         }
     }
 
-    /** The call goes out; its connection may come up late, above all in a process that has just started. */
-    void sent(Call call) {
+    /** The call has been sent; that may be late in a process that has just started, so its timeout starts now. */
+    void onSent(Call call) {
         call.sentAt = clock.getAsLong();
         if (call == pending.peekLast()) {
-            expectAnswer(call);
+            armTimeout(call);
         }
     }
 
-    private void expectAnswer(Call call) {
+    private void armTimeout(Call call) {
         timers.set(retryTimer, call.dueAt() + retryIntervalNs);
     }
 
-    /** Bytes of the call's answer have come; it may not be whole yet. */
-    void heard(Call call) {
-        call.lastHeardAt = clock.getAsLong();
-        call.firstHeardAt = call.firstHeardAt == 0 ? call.lastHeardAt : call.firstHeardAt;
+    /** Bytes of the response have been read; it may be incomplete. */
+    void recordProgress(Call call) {
+        call.lastByteAt = clock.getAsLong();
+        call.firstByteAt = call.firstByteAt == 0 ? call.lastByteAt : call.firstByteAt;
     }
 
-    void failed(Call call, String why) {
+    /** The call has failed; ignored unless the call is pending. */
+    void onFailure(Call call, String reason) {
         if (pending.remove(call)) {
-            failed(why);
+            retryLater(reason);
         }
     }
 
-    private void failed(String why) {
-        reportFailure(why);
-        long next = clock.getAsLong() + retryIntervalNs; // not at once: some refuse at once, however often
+    private void retryLater(String reason) {
+        reportFailure(reason);
+        long next = clock.getAsLong() + retryIntervalNs; // not immediately: a refused connection would be a busy loop
         if (!stopped && (!retryTimer.armed() || retryTimer.due() > next)) {
             timers.set(retryTimer, next);
         }
     }
 
-    private void reportFailure(String why) {
-        transport.failed(why, !failing);
+    private void reportFailure(String reason) {
+        transport.onPollFailure(reason, !failing);
         failing = true;
         healthy = false;
     }
 
-    private void overdue() {
+    private void onTimeout() {
         long now = clock.getAsLong();
-        reportFailure("no answer");
+        reportFailure("timeout");
         for (Call each : List.copyOf(pending)) {
-            if (each.isOverdue(now)) {
+            if (each.hasTimedOut(now)) {
                 pending.remove(each);
                 transport.cancel(each);
             }
         }
-        call(null);
+        startCall(null);
     }
 
-    private void call(Call before) {
+    private void startCall(Call predecessor) {
         if (stopped) {
             return;
         }
         long now = clock.getAsLong();
         if (pending.size() == MAX_PENDING_CALLS) {
-            Call dropped = leastUseful();
+            Call dropped = evictionCandidate();
             pending.remove(dropped);
             transport.cancel(dropped);
         }
-        Call call = new Call(hasFullList ? version : -1, hasFullList && healthy ? WATCH_WAIT_NS : 0, now);
+        Call call = new Call(hasFullList ? version : FULL_LIST, hasFullList && healthy ? WATCH_WAIT_NS : 0, now);
         pending.add(call);
-        expectAnswer(call);
-        transport.ask(call, before);
+        armTimeout(call);
+        transport.poll(call, predecessor);
     }
 
-    /** The oldest call that hears nothing, or the youngest: a long list needs time to come. */
-    private Call leastUseful() {
-        return pending.stream()
-                .filter(each -> each.lastHeardAt == 0)
-                .findFirst()
-                .orElse(pending.peekLast());
+    /** The oldest call without progress, else the youngest: a long list needs time to arrive. */
+    private Call evictionCandidate() {
+        return pending.stream().filter(each -> each.lastByteAt == 0).findFirst().orElse(pending.peekLast());
     }
 
-    private void cancel() {
+    private void cancelAll() {
         List.copyOf(pending).forEach(transport::cancel);
         pending.clear();
     }
--- a/src/main/java/beechseam/platform/RouteTableFreshness.java
+++ b/src/main/java/beechseam/platform/RouteTableFreshness.java
@@ -10,39 +10,41 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether the route table is current enough to send by. It is not after a start, a move of discovery, or a
- * time in which this process did not run: what discovery has told meanwhile may lie unread, or may not have
- * been asked for. Requests then wait, until discovery has answered or has had the time to; after that the
- * table counts as it is held, since discovery may be down for long.
+ * Whether the route table is current enough to send by. It is not after a start, a change of discovery's
+ * address, or a stall of this process: updates may lie unread in a socket, or may not have been requested.
+ * Requests are then deferred until discovery has responded or its response has timed out; after that the
+ * cached table is used, since an outage of discovery may be long.
  *
- * <p>A heartbeat every half stall limit reads discovery's connections. One that comes later than the limit
- * shows that the process was stopped or starved. The time that discovery is given is counted by heartbeats
- * too, each of which counts as one limit at most: to a process that does not run no time passes. I/O-free.
+ * <p>A heartbeat every half stall limit reads discovery's connections. One that is later than the limit
+ * detects that the process was stopped or starved. The response timeout is counted by heartbeats too, each
+ * of which counts for one limit at most, so that it does not elapse while the process does not run. No I/O.
  */
 final class RouteTableFreshness implements SendGate {
     private static final Logger LOG = System.getLogger(RouteTableFreshness.class.getName());
 
     /** States of the route table; shown to operators in lower case. */
     enum State {
-        /** Discovery has been asked and not answered: requests wait. */
+        /** A response of discovery is pending: requests are deferred. */
         AWAITED,
-        /** Discovery has told all that it had to tell. */
+        /** The table is discovery's current list. */
         CONFIRMED,
-        /** Discovery is silent: requests are sent by the table as held. */
+        /** Discovery does not respond: requests are sent by the cached table. */
         UNCONFIRMED
     }
 
+    private static final long NANOS_PER_MS = 1_000_000L;
+
     private final LongSupplier clock;
     private final Timers timers;
     private final long stallNs;
-    private final long patienceNs;
+    private final long responseTimeoutNs;
     private final BooleanSupplier readUnread;
-    private final Runnable askAgain;
-    private Runnable opened = () -> {};
+    private final Runnable recheck;
+    private Runnable openListener = () -> {};
     private final Timer heartbeat = new Timer() {
         @Override
         protected void fire() {
-            checkSockets(clock.getAsLong());
+            checkForStall(clock.getAsLong());
             timers.set(heartbeat, clock.getAsLong() + stallNs / 2);
         }
     };
@@ -54,42 +56,47 @@
     private boolean checking;
 
     /**
-     * @param stallNs a process that has not run for longer may have missed news that counts already
-     * @param patienceNs the time in which a discovery that is up answers
-     * @param readUnread takes in all that discovery has sent and is unread; whether there was any
-     * @param askAgain makes a call that discovery answers at once
+     * @param clock steady clock, in nanoseconds
+     * @param timers run the heartbeat
+     * @param stallNs stall limit: after a longer stall the process may have missed an update in effect
+     * @param responseTimeoutNs response timeout of discovery
+     * @param readUnread reads all that discovery has sent and is unread; returns whether there was any
+     * @param recheck makes a call to which discovery responds immediately
      */
     RouteTableFreshness(
             LongSupplier clock,
             Timers timers,
             long stallNs,
-            long patienceNs,
+            long responseTimeoutNs,
             BooleanSupplier readUnread,
-            Runnable askAgain) {
+            Runnable recheck) {
         this.clock = clock;
         this.timers = timers;
         this.stallNs = stallNs;
-        this.patienceNs = patienceNs;
+        this.responseTimeoutNs = responseTimeoutNs;
         this.readUnread = readUnread;
-        this.askAgain = askAgain;
-        remainingNs = patienceNs;
+        this.recheck = recheck;
+        remainingNs = responseTimeoutNs;
         checkedAt = clock.getAsLong();
         awaitedSince = checkedAt;
     }
 
-    /** Called each time the gate opens. */
-    void onOpen(Runnable action) {
-        opened = action;
+    /** Sets the listener that is called each time the gate opens. */
+    void onOpen(Runnable listener) {
+        openListener = listener;
     }
 
+    /** Starts the heartbeat. */
     void start() {
         timers.set(heartbeat, checkedAt + stallNs / 2);
     }
 
+    /** Stops the heartbeat. */
     void stop() {
         timers.cancel(heartbeat);
     }
 
+    /** The state as of the last check. */
     State state() {
         return state;
     }
@@ -99,41 +106,43 @@
         return hasOpened;
     }
 
-    /** Discovery is elsewhere: it has all its time from now on, and nothing from before counts. */
-    void moved() {
-        remainingNs = patienceNs;
-        await(clock.getAsLong());
+    /** Discovery's address has changed: its response timeout starts anew, and earlier responses do not count. */
+    void addressChanged() {
+        remainingNs = responseTimeoutNs;
+        awaitResponse(clock.getAsLong());
     }
 
-    /** The table may be old, until discovery answers a call made at that time or later. */
-    private void await(long since) {
+    /** The table may be stale until the response to a call made at {@code since} or later, in nanoseconds. */
+    private void awaitResponse(long since) {
         awaitedSince = Math.max(awaitedSince, since);
-        if (state != State.AWAITED) { // else the time that discovery is given goes on
-            remainingNs = patienceNs;
+        if (state != State.AWAITED) { // else the response timeout goes on
+            remainingNs = responseTimeoutNs;
             enter(State.AWAITED);
         }
     }
 
-    /** Whether the answer to a call made then confirms the table, if it is read in time. */
-    boolean confirms(long askedAt) {
-        return state != State.AWAITED || askedAt >= awaitedSince;
+    /** Whether the response to a call made at that time confirms the table, if it is read in time. */
+    boolean confirms(long callStartedAt) {
+        return state != State.AWAITED || callStartedAt >= awaitedSince;
     }
 
     /**
-     * Discovery has answered a call made at {@code askedAt}; the first bytes were read at {@code heardAt}, or
-     * 0 where the answer came in one piece. False where the answer may be older than the stall limit, since
-     * it lay unread or took long to come: it does not confirm the table, and discovery is to be asked again.
+     * Discovery has responded to a call. Returns false where the response may be older than the stall limit,
+     * since it lay unread or took long to receive: it does not confirm the table, and another call is needed.
+     *
+     * @param callStartedAt when the call was made, in nanoseconds
+     * @param firstByteAt when the first bytes of the response were read, or 0 where it was read in one piece
      */
-    boolean answered(long askedAt, long heardAt) {
+    boolean onResponse(long callStartedAt, long firstByteAt) {
         long now = clock.getAsLong();
-        long unreadNs = Math.min(now - askedAt, now - checkedAt);
-        long arrivalNs = heardAt == 0 ? 0 : now - heardAt;
-        boolean inTime = Math.max(unreadNs, arrivalNs) <= stallNs;
-        if (inTime && confirms(askedAt)) {
+        long unreadNs = Math.min(now - callStartedAt, now - checkedAt);
+        long receiveNs = firstByteAt == 0 ? 0 : now - firstByteAt;
+        boolean isRecent = Math.max(unreadNs, receiveNs) <= stallNs;
+        if (isRecent && confirms(callStartedAt)) {
             enter(State.CONFIRMED);
             return true;
         }
-        await(now);
+        awaitResponse(now);
         return false;
     }
 
@@ -141,7 +150,7 @@
     public boolean open() {
         long now = clock.getAsLong();
         if (now - checkedAt >= stallNs / 2) {
-            checkSockets(now);
+            checkForStall(now);
         }
         return state != State.AWAITED;
     }
@@ -151,28 +160,28 @@
         return state == State.AWAITED ? Math.max(0, remainingNs) : 0;
     }
 
-    /** Reads what discovery has sent, then counts the time since the last check. */
-    private void checkSockets(long now) {
+    /** Reads what discovery has sent, then accounts for the time since the last check. */
+    private void checkForStall(long now) {
         if (checking) {
             return;
         }
         checking = true;
-        long sinceNs = now - checkedAt;
-        boolean stalled = sinceNs > stallNs;
+        long elapsedNs = now - checkedAt;
+        boolean stalled = elapsedNs > stallNs;
         boolean wasConfirmed = state == State.CONFIRMED;
         if (stalled && wasConfirmed) {
-            await(now); // before anything is read, which may bring sends about
+            awaitResponse(now); // before anything is read, since that may cause sends
         }
-        boolean any = readUnread.getAsBoolean();
+        boolean hadUnread = readUnread.getAsBoolean();
         checkedAt = now;
         checking = false;
-        if (stalled && (wasConfirmed || any)) {
-            LOG.log(Level.INFO, "not run for " + sinceNs / 1_000_000L + " ms: discovery is asked again");
-            await(now);
-            askAgain.run();
+        if (stalled && (wasConfirmed || hadUnread)) {
+            LOG.log(Level.INFO, "process stalled stall_ms=" + elapsedNs / NANOS_PER_MS + " action=poll_discovery");
+            awaitResponse(now);
+            recheck.run();
         }
         if (state == State.AWAITED) {
-            remainingNs -= Math.min(sinceNs, stallNs);
+            remainingNs -= Math.min(elapsedNs, stallNs);
             if (remainingNs <= 0) {
                 enter(State.UNCONFIRMED);
             }
@@ -187,15 +196,15 @@
         state = next;
         LOG.log(
                 Level.INFO,
-                "route table " + next.name().toLowerCase(Locale.ROOT)
+                "route table state=" + next.name().toLowerCase(Locale.ROOT)
                         + switch (next) {
-                            case AWAITED -> ": requests wait for discovery's answer";
-                            case CONFIRMED -> " by discovery";
-                            case UNCONFIRMED -> ": discovery is silent, requests go by the list as held";
+                            case AWAITED -> " requests=deferred";
+                            case CONFIRMED -> "";
+                            case UNCONFIRMED -> " requests=sent_by_cached_list";
                         });
         if (!wasOpen) {
             hasOpened = true;
-            opened.run();
+            openListener.run();
         }
     }
 }
--- a/src/main/java/beechseam/platform/ServerStartTimes.java
+++ b/src/main/java/beechseam/platform/ServerStartTimes.java
@@ -8,42 +8,41 @@
 import java.util.function.LongSupplier;
 
 /**
- * When each server started, on the node's steady clock. Discovery dates starts by a wall clock, which may be
- * stepped at any time, on the machine that dates them as well as on the node's. What a list says without any
- * clock is this: a server whose date differs from the one listed before has started between the two lists.
+ * Start times of servers on the node's steady clock. Discovery dates starts by a wall clock, which may be
+ * stepped at any time, on the machine that dates them as well as on the node's. Independent of any clock is
+ * this: a server whose date differs from that of the previous list has started between the two lists.
  *
- * <p>While lists follow each other closely such a start counts as of now: that is later than it was by less
- * than the lists are apart or late, and a server taken for younger than it is gets less, never too much. Past
- * a longer gap, such as an outage of discovery, its date is believed where it lies within the gap and this
- * machine's wall clock has not been stepped meanwhile. Only the first list of a process has nothing to be
- * compared with; there a date is taken as it stands, and one that lies ahead as now. A date that has not
- * changed keeps the time that it was given first. I/O-free.
+ * <p>Where lists are consecutive such a start is taken as now: the error is less than the gap between the
+ * lists, and a server taken for younger than it is gets less work, never too much. After a longer gap, such as
+ * an outage of discovery, its date is trusted if it lies within the gap and this machine's wall clock has not
+ * been stepped meanwhile. The first list of a process has no baseline to compare with: a date is taken as it
+ * is, and one in the future as now. A date that has not changed keeps the time first assigned to it. No I/O.
  */
 final class ServerStartTimes {
-    /** Lists that are no further apart follow each other closely: a watch that is answered in time. */
-    static final long CLOSE_NS = ListWatch.WATCH_WAIT_NS + ListWatch.ANSWER_TIMEOUT_NS;
-    /** The two clocks are not read at the same instant, and the wall clock counts in milliseconds. */
+    /** Largest gap between consecutive lists: that of a long poll with a response in time. */
+    static final long MAX_CONSECUTIVE_GAP_NS = ListWatch.WATCH_WAIT_NS + ListWatch.RESPONSE_TIMEOUT_NS;
+    /** The two clocks are not read at the same instant, and the wall clock has a resolution of milliseconds. */
     private static final long READING_TOLERANCE_NS = 20_000_000L;
-    /** A wall clock that is slewed runs fast or slow by up to a two-thousandth; a step is more. */
+    /** A slewed wall clock runs fast or slow by up to 1/2000; a larger deviation is a step. */
     private static final long SLEW_DIVISOR = 1000;
 
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
-    /** What a list said of a server's start, and when that was on the steady clock. */
-    private record Start(long dateMs, long at) {}
+    /** A server's start: the list's date in Unix milliseconds, and the time on the steady clock in nanoseconds. */
+    private record Start(long dateMs, long startedAt) {}
 
     private final LongSupplier clock;
     private final LongSupplier wallClockMs;
     private final Map<String, Start> starts = new HashMap<>();
-    private boolean confirmed;
-    /** When the list before this one was taken in, and the wall clock's lead over the steady one then. */
-    private long confirmedAt;
+    private boolean hasBaseline;
+    /** When the previous list was applied, and the offset of the wall clock from the steady clock then. */
+    private long baselineAt;
 
-    private long confirmedLeadNs;
+    private long baselineOffsetNs;
     private long now;
     private long wallNowMs;
-    private long earliest = Long.MIN_VALUE;
-    private boolean datesCount;
+    private long earliestAt = Long.MIN_VALUE;
+    private boolean datesTrusted;
 
     /**
      * @param clock the node's steady clock, in nanoseconds
@@ -54,25 +53,29 @@
         this.wallClockMs = wallClockMs;
     }
 
-    /** A list is about to be taken in; {@code held}: one from before this process, of unknown age. */
-    void begin(boolean held) {
+    /**
+     * Begins the update by a list.
+     *
+     * @param cached whether the list is from before this process, of unknown age
+     */
+    void beginUpdate(boolean cached) {
         now = clock.getAsLong();
         wallNowMs = wallClockMs.getAsLong();
-        long leadNs = wallNowMs * MS - now;
-        long gapNs = now - confirmedAt;
+        long offsetNs = wallNowMs * NANOS_PER_MS - now;
+        long gapNs = now - baselineAt;
         long toleranceNs = READING_TOLERANCE_NS + gapNs / SLEW_DIVISOR;
-        boolean stepped = Math.abs(leadNs - confirmedLeadNs) > toleranceNs;
-        datesCount = !confirmed || gapNs > CLOSE_NS && !stepped;
-        earliest = confirmed ? confirmedAt : Long.MIN_VALUE;
-        if (!held) {
-            confirmed = true;
-            confirmedAt = now;
-            confirmedLeadNs = leadNs;
+        boolean stepped = Math.abs(offsetNs - baselineOffsetNs) > toleranceNs;
+        datesTrusted = !hasBaseline || gapNs > MAX_CONSECUTIVE_GAP_NS && !stepped;
+        earliestAt = hasBaseline ? baselineAt : Long.MIN_VALUE;
+        if (!cached) {
+            hasBaseline = true;
+            baselineAt = now;
+            baselineOffsetNs = offsetNs;
         }
     }
 
-    /** When the server started on the steady clock; 0 for long ago. */
-    long of(MemberList.Server server) {
+    /** When the server started on the steady clock, in nanoseconds; 0 for long ago. */
+    long startedAtNs(MemberList.Server server) {
         if (server.startedMs() == 0 || server.state() == EndpointState.REMOVED) {
             starts.remove(server.id());
             return 0;
@@ -82,18 +85,18 @@
             known = new Start(server.startedMs(), steadyTime(server.startedMs()));
             starts.put(server.id(), known);
         }
-        return known.at();
+        return known.startedAt();
     }
 
     private long steadyTime(long dateMs) {
-        if (!datesCount || dateMs > wallNowMs) {
+        if (!datesTrusted || dateMs > wallNowMs) {
             return now;
         }
-        long at = now - (wallNowMs - dateMs) * MS;
-        return at >= earliest ? Math.max(1, at) : now; // 0 would stand for long ago
+        long startedAt = now - (wallNowMs - dateMs) * NANOS_PER_MS;
+        return startedAt >= earliestAt ? Math.max(1, startedAt) : now; // 0 would stand for long ago
     }
 
-    /** A whole list has been taken in: what it does not name is forgotten. */
+    /** Removes all servers but these, after a full list has been applied. */
     void retain(Set<String> listed) {
         starts.keySet().retainAll(listed);
     }
--- a/src/test/java/beechseam/platform/DiscoveryListTest.java
+++ b/src/test/java/beechseam/platform/DiscoveryListTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Lists of discovery of every size and form, and lists that cannot be used. */
+/** Lists of discovery in every size and format, and unusable lists. */
 class DiscoveryListTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
-    private static final long HELD = 0x0badcafeL;
+    private static final long CACHED_SERVER = 0x0badcafeL;
 
     private final PlatformNode node;
     private final List<LogRecord> logged = new ArrayList<>();
@@ -43,7 +43,7 @@
     DiscoveryListTest() throws IOException, ConfigException {
         logger.addHandler(handler);
         node = new PlatformNode(net.loop, config(discoveryAt, LISTEN));
-        called(0);
+        awaitPoll(0);
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
         return node.address();
     }
 
-    private void called(int connection) {
+    private void awaitPoll(int connection) {
         net.until(
                 "a call to discovery",
                 () -> discovery.size() > connection
@@ -69,7 +69,7 @@
                 .count();
     }
 
-    private String warning() {
+    private String firstWarning() {
         return logged.stream()
                 .filter(each -> each.getLevel().equals(Level.WARNING))
                 .findFirst()
@@ -77,8 +77,6 @@
                 .getMessage();
     }
 
-    // ---- Size and form
-
     private enum Form {
         COMPACT,
         INDENTED,
@@ -110,7 +108,7 @@
 
     @ParameterizedTest
     @CsvSource({"1024,COMPACT", "1024,INDENTED", "1024,CHUNKED", "4096,COMPACT", "4096,INDENTED", "4096,CHUNKED"})
-    void aListOfSoManyServersIsTakenAndServedBy(int servers, Form form) {
+    void listOfManyServersIsAppliedAndUsedForDispatch(int servers, Form form) {
         String body = list(servers, form);
         discovery.get(0).say(form == Form.CHUNKED ? chunked(body, 200) : answer("200 OK", body));
         net.until("the list", () -> node.isSynced());
@@ -123,10 +121,10 @@
         assertEquals(0, warnings());
     }
 
-    /** Slower than any pause between calls; those made beside it must not cost the list its place. */
+    /** Slower than the retry interval: calls made in parallel must not cancel the one that makes progress. */
     @ParameterizedTest
     @EnumSource(Form.class)
-    void aListThatComesSlowlyIsTaken(Form form) {
+    void slowlyReceivedListIsApplied(Form form) {
         String body = list(1024, form);
         String all = form == Form.CHUNKED ? chunked(body, 200) : answer("200 OK", body);
         int piece = all.length() / 100 + 1;
@@ -140,12 +138,12 @@
         assertFalse(discovery.get(0).gone);
     }
 
-    /** The buffer that has grown for a list is given back: many more lists than the heap would hold. */
+    /** The buffer grown for a list is released: more lists than would fit on the heap together. */
     @Test
-    void theBufferOfALongListIsGivenBack() {
+    void bufferOfLongListIsReleased() {
         String body = list(4096, Form.INDENTED);
-        long share = Runtime.getRuntime().maxMemory() / 4; // what all long buffers together may hold
-        long lists = Math.min(40, share / body.length() + 2);
+        long budget = Runtime.getRuntime().maxMemory() / 4; // for all long buffers together
+        long lists = Math.min(40, budget / body.length() + 2);
         for (int i = 0; i < lists; i++) {
             Peer agent = discovery.get(0);
             agent.take();
@@ -159,8 +157,6 @@
         assertEquals(0, warnings());
     }
 
-    // ---- Lists that cannot be used
-
     private String entry(String id) {
         return row("SERVING").replace("s-0badcafe", id);
     }
@@ -171,15 +167,16 @@
             value = {
                 "long | a body of 5000000 bytes or more; 4194304 is the most",
                 "long chunks | bytes or more; 4194304 is the most",
-                "cut | an answer of 38 bytes that is no list: Unexpected end-of-input: was"
+                "cut | reason=invalid_list bytes=38 detail=Unexpected end-of-input: was"
                         + " expecting closing '\"' for name at byte ",
-                "other form | an answer of 21 bytes that is no list: version: is missing",
-                "no servers | an answer of 13 bytes that is no list: servers: is missing",
-                "one id | bytes that is no list: servers: must name a server once, and names s-00000007 twice",
-                "error | status 500"
+                "other form | reason=invalid_list bytes=21 detail=version: is missing",
+                "no servers | reason=invalid_list bytes=13 detail=servers: is missing",
+                "one id | reason=invalid_list bytes= ... detail=servers: must name"
+                        + " a server once, and names s-00000007 twice",
+                "error | reason=http_status status=500"
             })
-    void aListThatCannotBeUsedIsToldOnceAndAskedForAgain(String how, String said) {
-        String all = switch (how) {
+    void unusableListIsLoggedOncePerCauseAndRequestedAgain(String response, String expectedText) {
+        String all = switch (response) {
             case "long" -> "HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n";
             case "long chunks" ->
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -191,38 +188,40 @@
             default -> answer("500 Oops", "");
         };
         for (int call = 0; call < 3; call++) {
-            called(call);
+            awaitPoll(call);
             discovery.get(call).say(all);
             int next = call + 1;
             net.until("another call", () -> discovery.size() > next);
         }
         assertFalse(node.isSynced());
-        assertTrue(node.engine.routeTable().acceptsNewWork(HELD), "the list as held stays");
+        assertTrue(node.engine.routeTable().acceptsNewWork(CACHED_SERVER), "the current list stays in effect");
         assertEquals(1, warnings(), "once a cause");
-        assertTrue(warning().contains(said), warning());
+        for (String each : expectedText.split(" \\.\\.\\. ")) {
+            assertTrue(firstWarning().contains(each), firstWarning());
+        }
     }
 
-    /** An answer that ends in the middle is a broken connection, and no list. */
+    /** A truncated response is a connection failure and no list. */
     @Test
-    void aListCutOffByACloseIsAskedForAgain() {
+    void listTruncatedByCloseIsRequestedAgain() {
         String whole = answer("200 OK", list(100, Form.COMPACT));
         discovery.get(0).say(whole.substring(0, whole.length() / 2));
         net.settle(20);
         discovery.get(0).close();
-        called(1);
-        assertTrue(node.engine.routeTable().acceptsNewWork(HELD));
+        awaitPoll(1);
+        assertTrue(node.engine.routeTable().acceptsNewWork(CACHED_SERVER));
         assertTrue(discovery.get(1).heard().startsWith("GET /catalog/members HTTP/1.1"), "the whole list");
     }
 
-    /** An entry of no sense costs itself only; and where it names a server that is held, not even that. */
+    /** An invalid entry is ignored alone; where it names a listed server, that stays in effect. */
     @Test
-    void anEntryWithoutAnAddressLeavesTheServerAsHeld() {
-        String held = row("SERVING").replaceAll("\"addr\":\"[^\"]*\",", "");
-        discovery.get(0).say(answer("200 OK", list(9, entry("s-00000001") + "," + held)));
+    void invalidEntryLeavesCurrentServerInEffect() {
+        String invalid = row("SERVING").replaceAll("\"addr\":\"[^\"]*\",", "");
+        discovery.get(0).say(answer("200 OK", list(9, entry("s-00000001") + "," + invalid)));
         net.until("the list", () -> node.isSynced());
         assertTrue(node.engine.routeTable().acceptsNewWork(1));
-        assertTrue(node.engine.routeTable().acceptsNewWork(HELD));
+        assertTrue(node.engine.routeTable().acceptsNewWork(CACHED_SERVER));
         assertEquals(1, warnings());
-        assertTrue(warning().contains("1 of 2 entries cannot be used, first servers[1].addr"), warning());
+        assertTrue(firstWarning().contains("1 of 2 entries cannot be used, first servers[1].addr"), firstWarning());
     }
 }
--- a/src/test/java/beechseam/platform/ListWatchTest.java
+++ b/src/test/java/beechseam/platform/ListWatchTest.java
@@ -16,93 +16,93 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The calls to discovery in virtual time, against each way in which they fail. */
+/** The calls to discovery in virtual time, for each fault mode of the agent. */
 class ListWatchTest {
-    private static final long MS = 1_000_000L;
-    private static final long S = 1000 * MS;
-    private static final long GRACE = 300 * MS;
-    private static final long WAY = MS / 2;
-    private static final long SLOW_NS = 80 * S;
-
-    /** SILENT: accepted without a word. SLOW: the answer comes byte by byte, for long. */
-    enum Way {
-        WELL,
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1000 * MILLISECOND;
+    private static final long GRACE = 300 * MILLISECOND;
+    private static final long ONE_WAY_NS = MILLISECOND / 2;
+    private static final long SLOW_NS = 80 * SECOND;
+
+    /** SILENT: accepted without a response. SLOW: the response is sent byte by byte, for long. */
+    enum Fault {
+        NONE,
         SILENT,
         REFUSED,
         RESET,
         ERROR,
         LATE,
-        SPOILT,
-        HASTY,
+        STALE_DELTA,
+        NO_WAIT,
         SLOW
     }
 
-    /** An agent that fails as it is told to, on a clock of its own. */
+    /** An agent that injects faults, on a virtual clock. */
     private static final class Agent implements ListWatch.Transport {
         final TimerQueue timers = new TimerQueue();
         final Random random;
-        final List<Call> waiting = new ArrayList<>();
-        final List<Call> asked = new ArrayList<>();
-        final Set<Call> hungUp = new HashSet<>();
+        final List<Call> watches = new ArrayList<>();
+        final List<Call> startedCalls = new ArrayList<>();
+        final Set<Call> ended = new HashSet<>();
         final ListWatch watch;
         long now;
         long version = 1;
-        long taken = -1;
-        long takenAt;
-        EndpointUpdate form;
+        long appliedVersion = -1;
+        long appliedAt;
+        EndpointUpdate lastUpdate;
         int calls;
-        int out;
-        int mostOut;
-        Way way;
-        double share = 1;
+        int pending;
+        int maxPending;
+        Fault fault;
+        double faultProbability = 1;
 
         Agent(long seed) {
-            this(seed, Way.WELL);
+            this(seed, Fault.NONE);
         }
 
-        Agent(long seed, Way first) {
-            way = first;
+        Agent(long seed, Fault first) {
+            fault = first;
             random = new Random(seed);
             watch = new ListWatch(() -> now, timers, GRACE, this);
             watch.start(MemberList.NONE);
         }
 
-        void at(long when, Runnable what) {
+        void at(long when, Runnable action) {
             timers.set(
                     new Timer() {
                         @Override
                         protected void fire() {
-                            what.run();
+                            action.run();
                         }
                     },
                     when);
         }
 
         void run(long until) {
-            for (Timer t = timers.due(until); t != null; t = timers.due(until)) {
-                now = Math.max(now, t.due()); // late, where the test has moved the clock
-                t.run();
+            for (Timer due = timers.due(until); due != null; due = timers.due(until)) {
+                now = Math.max(now, due.due()); // late, where the test has moved the clock
+                due.run();
             }
             now = until;
         }
 
         @Override
-        public void ask(Call call, Call before) {
+        public void poll(Call call, Call predecessor) {
             calls++;
-            asked.add(call);
-            mostOut = Math.max(mostOut, ++out);
-            switch (random.nextDouble() < share ? way : Way.WELL) {
-                case WELL -> at(now + WAY, () -> arrive(call));
+            startedCalls.add(call);
+            maxPending = Math.max(maxPending, ++pending);
+            switch (random.nextDouble() < faultProbability ? fault : Fault.NONE) {
+                case NONE -> at(now + ONE_WAY_NS, () -> arrive(call));
                 case SILENT -> {}
                 case REFUSED -> fail(call);
-                case RESET, ERROR -> at(now + 2 * WAY, () -> fail(call));
-                case HASTY -> at(now + WAY, () -> at(now + WAY, () -> reply(call)));
-                case LATE -> at(now + 900 * MS, () -> arrive(call));
-                case SLOW -> trickle(call, now + SLOW_NS);
-                case SPOILT ->
-                    at(now + 2 * WAY, () -> {
-                        if (call.after > 0) { // changes to a list of long ago
-                            end(call, new MemberList(call.after - 1, false, List.of()));
+                case RESET, ERROR -> at(now + 2 * ONE_WAY_NS, () -> fail(call));
+                case NO_WAIT -> at(now + ONE_WAY_NS, () -> at(now + ONE_WAY_NS, () -> reply(call)));
+                case LATE -> at(now + 900 * MILLISECOND, () -> arrive(call));
+                case SLOW -> respondSlowly(call, now + SLOW_NS);
+                case STALE_DELTA ->
+                    at(now + 2 * ONE_WAY_NS, () -> {
+                        if (call.sinceVersion > 0) { // a delta to an older list
+                            end(call, new MemberList(call.sinceVersion - 1, false, List.of()));
                         } else {
                             fail(call);
                         }
@@ -110,34 +110,34 @@
             }
         }
 
-        /** Some bytes every 100 ms, and the list as it is now at the end. */
-        private void trickle(Call call, long end) {
-            if (hungUp.contains(call)) {
+        /** Sends some bytes every 100 ms and the current list at the end. */
+        private void respondSlowly(Call call, long end) {
+            if (ended.contains(call)) {
                 return;
             }
             if (now >= end) {
                 reply(call);
             } else {
-                watch.heard(call);
-                at(now + 100 * MS, () -> trickle(call, end));
+                watch.recordProgress(call);
+                at(now + 100 * MILLISECOND, () -> respondSlowly(call, end));
             }
         }
 
         private void fail(Call call) {
-            if (!hungUp.contains(call)) {
-                hungUp.add(call);
-                out--;
-                watch.failed(call, "test");
+            if (!ended.contains(call)) {
+                ended.add(call);
+                pending--;
+                watch.onFailure(call, "test");
             }
         }
 
         private void arrive(Call call) {
-            if (call.after < 0 || version > call.after || call.waitNs == 0) {
-                at(now + WAY, () -> reply(call));
+            if (call.sinceVersion < 0 || version > call.sinceVersion || call.waitNs == 0) {
+                at(now + ONE_WAY_NS, () -> reply(call));
             } else {
-                waiting.add(call);
+                watches.add(call);
                 at(now + call.waitNs, () -> {
-                    if (waiting.remove(call)) {
+                    if (watches.remove(call)) {
                         reply(call);
                     }
                 });
@@ -145,59 +145,59 @@
         }
 
         private void reply(Call call) {
-            end(call, new MemberList(version, call.after < 0, List.of()));
+            end(call, new MemberList(version, call.sinceVersion < 0, List.of()));
         }
 
         private void end(Call call, MemberList list) {
-            if (!hungUp.contains(call)) {
-                hungUp.add(call);
-                out--;
-                watch.answered(call, list);
+            if (!ended.contains(call)) {
+                ended.add(call);
+                pending--;
+                watch.onResponse(call, list);
             }
         }
 
         void change() {
             version++;
-            List<Call> told = List.copyOf(waiting);
-            waiting.clear();
-            told.forEach(each -> at(now + WAY, () -> reply(each)));
+            List<Call> responding = List.copyOf(watches);
+            watches.clear();
+            responding.forEach(each -> at(now + ONE_WAY_NS, () -> reply(each)));
         }
 
-        /** Whatever is open now breaks: without a word where silent, else by a reset. */
-        void strike(Way by) {
-            way = by;
-            List<Call> struck = List.copyOf(waiting);
-            waiting.clear();
-            if (by == Way.REFUSED || by == Way.RESET) {
-                struck.forEach(this::fail);
+        /** Breaks the pending calls: silently, or by a reset where the fault is one of the connection. */
+        void inject(Fault next) {
+            fault = next;
+            List<Call> broken = List.copyOf(watches);
+            watches.clear();
+            if (next == Fault.REFUSED || next == Fault.RESET) {
+                broken.forEach(this::fail);
             }
         }
 
-        /** When the version was in hand, from now on. */
-        long told(long wanted, long atMost) {
-            for (long end = now + atMost; taken < wanted && now < end; ) {
-                run(now + MS);
+        /** Runs until the version is applied, for {@code atMost} nanoseconds; when that was, or far in the future. */
+        long appliedWithin(long wanted, long atMost) {
+            for (long end = now + atMost; appliedVersion < wanted && now < end; ) {
+                run(now + MILLISECOND);
             }
-            return taken >= wanted ? takenAt : Long.MAX_VALUE / 2;
+            return appliedVersion >= wanted ? appliedAt : Long.MAX_VALUE / 2;
         }
 
         @Override
         public void cancel(Call call) {
-            out -= hungUp.add(call) ? 1 : 0;
-            waiting.remove(call);
+            pending -= ended.add(call) ? 1 : 0;
+            watches.remove(call);
         }
 
         @Override
-        public void take(MemberList list, EndpointUpdate how) {
-            if (list.version() > taken) {
-                taken = list.version();
-                takenAt = now;
+        public void apply(MemberList list, EndpointUpdate update) {
+            if (list.version() > appliedVersion) {
+                appliedVersion = list.version();
+                appliedAt = now;
             }
-            form = how;
+            lastUpdate = update;
         }
 
         @Override
-        public void failed(String why, boolean first) {}
+        public void onPollFailure(String reason, boolean first) {}
 
         @Override
         public boolean readUnread(Call call) {
@@ -205,20 +205,20 @@
         }
     }
 
-    /** The longest between a change that can be had and its being in hand, over troubles and moments. */
-    private static long worst(Way way, long grid) {
+    /** The longest delay, in nanoseconds, between a change that could be read and its being applied, over outages. */
+    private static long worst(Fault fault, long grid) {
         long worst = 0;
-        for (long length : new long[] {MS, 140 * MS, S, 3 * S, 10 * S}) {
-            for (long offset = 0; offset <= length + 3 * S; offset += grid) {
+        for (long length : new long[] {MILLISECOND, 140 * MILLISECOND, SECOND, 3 * SECOND, 10 * SECOND}) {
+            for (long offset = 0; offset <= length + 3 * SECOND; offset += grid) {
                 Agent agent = new Agent(1);
-                agent.run(5 * S + offset * 7 % ListWatch.WATCH_WAIT_NS); // at any moment of a watch
+                agent.run(5 * SECOND + offset * 7 % ListWatch.WATCH_WAIT_NS); // at any moment of a watch
                 long start = agent.now;
-                agent.at(start + length, () -> agent.way = Way.WELL);
-                agent.strike(way);
+                agent.at(start + length, () -> agent.fault = Fault.NONE);
+                agent.inject(fault);
                 agent.run(start + offset);
                 agent.change();
-                long had = Math.max(agent.now, start + length); // it had it, and could be reached
-                worst = Math.max(worst, agent.told(2, 20 * S) - had);
+                long availableAt = Math.max(agent.now, start + length); // discovery had it and was reachable
+                worst = Math.max(worst, agent.appliedWithin(2, 20 * SECOND) - availableAt);
             }
         }
         return worst;
@@ -226,171 +226,173 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SLOW")
-    void aChangeIsToldWellWithinTheTermWhateverFailed(Way way) {
-        long worst = worst(way, 50 * MS);
-        System.out.println("discovery " + way + ": told " + worst / MS + " ms after it could be had");
-        assertTrue(worst <= ListWatch.WATCH_WAIT_NS + 2 * GRACE, way + ": " + worst / MS + " ms");
-        assertTrue(worst < ListWatch.PROPAGATION_LIMIT_NS / 2, "with half of the term to spare");
+    void changeIsAppliedWithinPropagationLimitForEveryFaultMode(Fault fault) {
+        long worst = worst(fault, 50 * MILLISECOND);
+        System.out.println("discovery fault=" + fault + " propagation_ms=" + worst / MILLISECOND);
+        assertTrue(worst <= ListWatch.WATCH_WAIT_NS + 2 * GRACE, fault + ": " + worst / MILLISECOND + " ms");
+        assertTrue(worst < ListWatch.PROPAGATION_LIMIT_NS / 2, "with half of the limit to spare");
     }
 
     /**
-     * What discovery gets at its return counts at once: only the rule's grace is left for the call. (One that
-     * answers late has not been silent.)
+     * A change at the end of an outage is in effect at once: only the drain grace is left for the call. (An agent
+     * that responds late has no outage.)
      */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "LATE")
-    void newsAtTheReturnFromALongSilenceIsInHandWithinTheGrace(Way way) {
-        for (long length = 4 * S; length < 5 * S; length += 7 * MS) {
+    void changeAtRecoveryFromOutageIsAppliedWithinDrainGrace(Fault fault) {
+        for (long length = 4 * SECOND; length < 5 * SECOND; length += 7 * MILLISECOND) {
             Agent agent = new Agent(1);
-            agent.run(5 * S);
-            agent.strike(way);
+            agent.run(5 * SECOND);
+            agent.inject(fault);
             agent.run(agent.now + length);
-            agent.way = Way.WELL;
+            agent.fault = Fault.NONE;
             agent.change();
             long back = agent.now;
-            long after = agent.told(2, 10 * S) - back;
-            assertTrue(after <= GRACE, way + ": " + after / MS + " ms");
+            long after = agent.appliedWithin(2, 10 * SECOND) - back;
+            assertTrue(after <= GRACE, fault + ": " + after / MILLISECOND + " ms");
         }
     }
 
-    /** Each call fails with an even chance, each in a way of its own, for good. */
+    /** Each call fails with probability one half, with varying faults, permanently. */
     @Test
-    void halfOfAllCallsFailAndTheTermIsKept() {
+    void propagationLimitHoldsWhenHalfOfTheCallsFail() {
         for (long seed = 0; seed < 400; seed++) {
             Agent agent = new Agent(seed);
-            agent.share = 0.5;
-            Way[] ways = Way.values();
+            agent.faultProbability = 0.5;
+            Fault[] faults = Fault.values();
             for (int i = 0; i < 8; i++) {
-                agent.at(i * S, () -> agent.strike(ways[agent.random.nextInt(ways.length)]));
+                agent.at(i * SECOND, () -> agent.inject(faults[agent.random.nextInt(faults.length)]));
             }
-            agent.run(6 * S + agent.random.nextInt(3000) * MS);
+            agent.run(6 * SECOND + agent.random.nextInt(3000) * MILLISECOND);
             agent.change();
             long from = agent.now;
-            assertTrue(agent.told(2, 20 * S) - from <= ListWatch.PROPAGATION_LIMIT_NS, "seed " + seed);
+            assertTrue(agent.appliedWithin(2, 20 * SECOND) - from <= ListWatch.PROPAGATION_LIMIT_NS, "seed " + seed);
         }
     }
 
     @Test
-    void callsAreFewInQuietAndBoundedInTrouble() {
+    void callRateIsLowWhenHealthyAndBoundedDuringOutage() {
         Agent agent = new Agent(1);
-        agent.run(60 * S);
+        agent.run(60 * SECOND);
         assertTrue(agent.calls <= 32, "a watch at a time: " + agent.calls);
-        assertEquals(1, agent.out);
-        agent.strike(Way.SILENT);
-        agent.run(120 * S);
-        assertTrue(agent.calls < 32 + 60 * S / (GRACE / 2) + 2, "in a silent minute: " + agent.calls);
-        assertTrue(agent.mostOut <= ListWatch.MAX_PENDING_CALLS, "" + agent.mostOut);
+        assertEquals(1, agent.pending);
+        agent.inject(Fault.SILENT);
+        agent.run(120 * SECOND);
+        assertTrue(agent.calls < 32 + 60 * SECOND / (GRACE / 2) + 2, "in a silent minute: " + agent.calls);
+        assertTrue(agent.maxPending <= ListWatch.MAX_PENDING_CALLS, "" + agent.maxPending);
         agent.watch.stop();
-        assertEquals(0, agent.out, "none is left behind");
+        assertEquals(0, agent.pending, "no call is leaked");
         int calls = agent.calls;
-        agent.run(130 * S);
+        agent.run(130 * SECOND);
         assertEquals(calls, agent.calls);
     }
 
-    /** An agent that answers each watch at once, with nothing: the node has other things to do. */
+    /** An agent that responds to each long poll immediately with no change must not cause a busy loop. */
     @Test
-    void aWatchThatDoesNotWaitIsNotMadeAgainAtOnce() {
-        Agent agent = new Agent(1, Way.HASTY);
-        agent.run(30 * S);
-        assertTrue(agent.calls < 30 * S / (GRACE / 2) * 2 + 10, "" + agent.calls);
+    void watchThatReturnsEarlyIsNotRepeatedImmediately() {
+        Agent agent = new Agent(1, Fault.NO_WAIT);
+        agent.run(30 * SECOND);
+        assertTrue(agent.calls < 30 * SECOND / (GRACE / 2) * 2 + 10, "" + agent.calls);
         agent.change();
         long from = agent.now;
-        assertTrue(agent.told(2, S) - from <= GRACE);
+        assertTrue(agent.appliedWithin(2, SECOND) - from <= GRACE);
     }
 
-    /** The first call of a row answers 0.9 s late: those made beside it must not cost it its answer. */
+    /** Responses are 0.9 s late: the calls made in parallel must not cancel the first one. */
     @Test
-    void aLateAnswerToAnEarlierCallIsTaken() {
+    void lateResponseToEarlierCallIsApplied() {
         Agent agent = new Agent(1);
-        agent.way = Way.LATE;
-        agent.run(30 * S);
+        agent.fault = Fault.LATE;
+        agent.run(30 * SECOND);
         agent.change();
         long from = agent.now;
-        assertTrue(agent.told(2, 10 * S) - from <= ListWatch.WATCH_WAIT_NS + 2 * S, "late, but told");
+        assertTrue(
+                agent.appliedWithin(2, 10 * SECOND) - from <= ListWatch.WATCH_WAIT_NS + 2 * SECOND,
+                "late, but applied");
     }
 
-    /** 4,096 servers at 10 KB/s: the call that began it is kept, whatever is asked beside it. */
+    /** 4,096 servers at 10 KB/s: the call that makes progress is kept, whatever is polled in parallel. */
     @Test
-    void aListThatTakesLongToComeIsTaken() {
-        Agent agent = new Agent(1, Way.SLOW);
-        agent.run(SLOW_NS - S);
+    void slowlyReceivedListIsApplied() {
+        Agent agent = new Agent(1, Fault.SLOW);
+        agent.run(SLOW_NS - SECOND);
         assertFalse(agent.watch.isSynced());
-        assertTrue(agent.watch.freshness().open(), "by the list as held, after the time of an answer");
-        agent.run(SLOW_NS + S);
+        assertTrue(agent.watch.freshness().open(), "by the cached list, after the response timeout");
+        agent.run(SLOW_NS + SECOND);
         assertTrue(agent.watch.isSynced());
-        assertTrue(agent.mostOut <= ListWatch.MAX_PENDING_CALLS, "" + agent.mostOut);
+        assertTrue(agent.maxPending <= ListWatch.MAX_PENDING_CALLS, "" + agent.maxPending);
     }
 
-    /** An answer that never ends does not keep a change from being told by the next call. */
+    /** A response that never ends does not delay a change that the next call can read. */
     @Test
-    void anAnswerThatNeverEndsDoesNotHoldUpTheNextCalls() {
+    void endlessResponseDoesNotBlockSubsequentCalls() {
         Agent agent = new Agent(1);
-        agent.run(5 * S);
-        agent.strike(Way.SLOW);
-        agent.run(agent.now + 10 * S);
-        agent.way = Way.WELL;
+        agent.run(5 * SECOND);
+        agent.inject(Fault.SLOW);
+        agent.run(agent.now + 10 * SECOND);
+        agent.fault = Fault.NONE;
         agent.change();
-        assertTrue(agent.told(2, 10 * S) - agent.now <= 0);
+        assertTrue(agent.appliedWithin(2, 10 * SECOND) - agent.now <= 0);
         long from = agent.now;
         agent.change();
-        assertTrue(agent.told(3, S) - from <= GRACE);
+        assertTrue(agent.appliedWithin(3, SECOND) - from <= GRACE);
     }
 
-    /** A process that is slow to start writes its first call late: no second one is made before its time. */
+    /** A process that is slow to start sends its first call late: no second one is made before its timeout. */
     @Test
-    void aCallThatWentOutLateHasItsTimeFromThen() {
-        Agent agent = new Agent(1, Way.SILENT);
-        Call first = agent.asked.get(0);
-        agent.run(140 * MS);
-        agent.watch.sent(first);
-        agent.run(280 * MS);
+    void timeoutOfCallStartsWhenItIsSent() {
+        Agent agent = new Agent(1, Fault.SILENT);
+        Call first = agent.startedCalls.get(0);
+        agent.run(140 * MILLISECOND);
+        agent.watch.onSent(first);
+        agent.run(280 * MILLISECOND);
         assertEquals(1, agent.calls);
-        agent.run(300 * MS);
+        agent.run(300 * MILLISECOND);
         assertEquals(2, agent.calls);
     }
 
-    /** A call beside an open watch fails: it is made again at the interval, and not when the watch is due. */
+    /** A call beside a pending watch fails: it is retried at the retry interval, not when the watch times out. */
     @Test
-    void aFailedCallBesideAnOpenWatchIsMadeAgainSoon() {
+    void failedCallBesidePendingWatchIsRetriedAfterRetryInterval() {
         Agent agent = new Agent(1);
-        agent.run(S);
+        agent.run(SECOND);
         int calls = agent.calls;
-        agent.way = Way.REFUSED;
-        agent.now += 400 * MS; // the process did not run: discovery is asked beside its open watch
+        agent.fault = Fault.REFUSED;
+        agent.now += 400 * MILLISECOND; // a stall: discovery is polled beside the pending watch
         assertFalse(agent.watch.freshness().open());
         assertEquals(calls + 1, agent.calls);
-        agent.way = Way.WELL;
-        agent.run(agent.now + GRACE / 2 + 2 * MS);
-        assertEquals(calls + 3, agent.calls, "once more, and the watch that follows its answer");
+        agent.fault = Fault.NONE;
+        agent.run(agent.now + GRACE / 2 + 2 * MILLISECOND);
+        assertEquals(calls + 3, agent.calls, "one retry, and the watch that follows its response");
         assertTrue(agent.watch.freshness().open());
     }
 
-    /** Versions of a list that is not the one we hold mean nothing: the whole list is asked for. */
+    /** Versions of another list do not compare: the full list is requested. */
     @Test
-    void changesUpToAnOlderVersionAreNotTaken() {
+    void deltaUpToOlderVersionIsRejectedAndFullListRequested() {
         Agent agent = new Agent(1);
         agent.version = 41;
-        agent.run(S);
-        assertEquals(41, agent.taken);
-        agent.version = 7; // it began anew, and answers by its own count
-        agent.run(3 * S);
-        assertEquals(EndpointUpdate.SNAPSHOT, agent.form);
-        agent.taken = 0;
+        agent.run(SECOND);
+        assertEquals(41, agent.appliedVersion);
+        agent.version = 7; // it has restarted and counts its versions anew
+        agent.run(3 * SECOND);
+        assertEquals(EndpointUpdate.SNAPSHOT, agent.lastUpdate);
+        agent.appliedVersion = 0;
         agent.change();
-        assertTrue(agent.told(8, S) - agent.now <= 0, "and the watch goes on by its count");
+        assertTrue(agent.appliedWithin(8, SECOND) - agent.now <= 0, "and the watch continues by its versions");
     }
 
-    /** A process that has just started may hold an old list: it is not ready before it was told. */
+    /** The cached list of a new process may be stale: it is not ready before discovery has responded. */
     @Test
-    void settledOnceAnsweredOrAfterTheTimeOfAnAnswer() {
+    void gateOpensOnFirstResponseOrResponseTimeout() {
         Agent agent = new Agent(1);
         assertFalse(agent.watch.freshness().open());
-        agent.run(2 * MS);
+        agent.run(2 * MILLISECOND);
         assertTrue(agent.watch.freshness().open() && agent.watch.isSynced());
-        Agent silent = new Agent(1, Way.SILENT);
-        silent.run(ListWatch.ANSWER_TIMEOUT_NS - 1);
+        Agent silent = new Agent(1, Fault.SILENT);
+        silent.run(ListWatch.RESPONSE_TIMEOUT_NS - 1);
         assertFalse(silent.watch.freshness().open());
-        silent.run(ListWatch.ANSWER_TIMEOUT_NS + GRACE / 4); // at the next heartbeat
+        silent.run(ListWatch.RESPONSE_TIMEOUT_NS + GRACE / 4); // at the next heartbeat
         assertTrue(silent.watch.freshness().open() && !silent.watch.isSynced());
     }
 }
--- a/src/test/java/beechseam/platform/ManyServersTest.java
+++ b/src/test/java/beechseam/platform/ManyServersTest.java
@@ -20,28 +20,28 @@
 import org.junit.jupiter.api.condition.OS;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the whole program needs before sixteen times the servers, for the same jobs: bounds of the terms. */
+/** Resources of the whole program for sixteen times the servers and the same jobs, within the promised bounds. */
 @EnabledOnOs(OS.LINUX)
 class ManyServersTest extends ProgramHarness {
-    private static final int USUAL = 200;
-    private static final int MANY = 16 * USUAL;
+    private static final int BASELINE_SERVERS = 200;
+    private static final int MANY_SERVERS = 16 * BASELINE_SERVERS;
     private static final int JOBS = 600;
-    private static final long GAP_MS = 1000 / 60;
+    private static final long INTERVAL_MS = 1000 / 60;
     private static final long RUN_MS = 100;
-    /** As the platform starts it. */
+    /** JVM options of the platform. */
     private static final String OPTIONS =
             "-XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:-UsePerfData -Xms48m -Xmx80m -Xss512k";
 
-    private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\S+)\r\n");
-    private static final Pattern PEAK = Pattern.compile("VmHWM:\\s+(\\d+) kB");
+    private static final Pattern CORRELATION_ID = Pattern.compile("X-Correlation-Id: (\\S+)\r\n");
+    private static final Pattern PEAK_MEMORY = Pattern.compile("VmHWM:\\s+(\\d+) kB");
 
-    /** What one run has needed. */
+    /** Resources used by one run. */
     private record Usage(long connections, long descriptors, double cpuSeconds, double memoryMb, int served) {}
 
     /** A stand-in for a server. */
     private record Server(String id, List<Peer> peers) {}
 
-    /** A job that runs until then. */
+    /** A running job and its end, in nanoseconds of {@link System#nanoTime}. */
     private record Run(String job, String server, long endsAt) {}
 
     @TempDir
@@ -78,38 +78,49 @@
     private Usage serve(Process program, List<Server> servers) throws IOException {
         ArrayDeque<Run> runs = new ArrayDeque<>();
         ArrayDeque<Peer> idle = new ArrayDeque<>();
-        List<Peer> asking = new ArrayList<>();
+        List<Peer> pendingClients = new ArrayList<>();
         Peer caller = client();
         long descriptors = 0;
         int served = 0;
         File open = new File("/proc/" + program.pid() + "/fd");
         long start = System.nanoTime();
-        for (int sent = 0; sent < JOBS || !asking.isEmpty(); ) {
+        for (int sent = 0; sent < JOBS || !pendingClients.isEmpty(); ) {
             net.settle(1);
-            if (sent < JOBS && System.nanoTime() - start > sent * GAP_MS * 1_000_000L) {
+            if (sent < JOBS && System.nanoTime() - start > sent * INTERVAL_MS * 1_000_000L) {
                 Peer client = idle.isEmpty() ? client() : idle.poll();
-                asking.add(client.say("POST /safe/x HTTP/1.1\r\nX-Correlation-Id: j" + sent++
+                pendingClients.add(client.say("POST /safe/x HTTP/1.1\r\nX-Correlation-Id: j" + sent++
                         + "\r\nX-Service-Class: safe\r\nX-Time-Left: 30000m\r\nContent-Length: 4\r\n\r\nbody"));
             }
-            for (Peer each : asking.stream()
-                    .filter(each -> each.heard().contains("\r\n\r\n"))
-                    .toList()) {
-                served += each.take().startsWith("HTTP/1.1 200") ? 1 : 0;
-                asking.remove(each);
-                idle.add(each);
-            }
+            served += takeResponses(pendingClients, idle);
             for (Server server : servers) {
-                take(server, caller, runs);
+                acceptJobs(server, caller, runs);
             }
             while (!runs.isEmpty() && runs.peek().endsAt < System.nanoTime()) {
-                tell(caller, runs.poll(), "done\",\"result\":\"ok\",\"load\":{\"x0\":4,\"inflight\":0}");
+                sendEvent(caller, runs.poll(), "done\",\"result\":\"ok\",\"load\":{\"x0\":4,\"inflight\":0}");
             }
             String[] files = open.list();
             descriptors = Math.max(descriptors, files == null ? 0 : files.length);
         }
+        return usage(program, servers, descriptors, served);
+    }
+
+    /** Moves the clients that have a response from the pending to the idle ones; returns how many were served. */
+    private static int takeResponses(List<Peer> pendingClients, ArrayDeque<Peer> idle) {
+        int served = 0;
+        for (Peer each : pendingClients.stream()
+                .filter(each -> each.heard().contains("\r\n\r\n"))
+                .toList()) {
+            served += each.take().startsWith("HTTP/1.1 200") ? 1 : 0;
+            pendingClients.remove(each);
+            idle.add(each);
+        }
+        return served;
+    }
+
+    private static Usage usage(Process program, List<Server> servers, long descriptors, int served) throws IOException {
         long connections =
                 servers.stream().mapToLong(server -> server.peers.size()).sum();
-        Matcher peak = PEAK.matcher(Files.readString(Path.of("/proc/" + program.pid() + "/status")));
+        Matcher peak = PEAK_MEMORY.matcher(Files.readString(Path.of("/proc/" + program.pid() + "/status")));
         double memoryMb = peak.find() ? Long.parseLong(peak.group(1)) / 1024.0 : 0;
         double cpu = program.info().totalCpuDuration().orElse(Duration.ZERO).toMillis() / 1e3;
         Usage usage = new Usage(connections, descriptors, cpu, memoryMb, served);
@@ -117,19 +128,19 @@
         return usage;
     }
 
-    private static void tell(Peer caller, Run run, String state) {
+    private static void sendEvent(Peer caller, Run run, String state) {
         String event = "{\"id\":\"" + run.job + "\",\"from\":\"" + run.server + "\",\"state\":\"" + state + "}";
         caller.say("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + event.length() + "\r\n\r\n" + event);
     }
 
-    private void take(Server server, Peer caller, ArrayDeque<Run> runs) {
+    private void acceptJobs(Server server, Peer caller, ArrayDeque<Run> runs) {
         for (Peer peer : server.peers) {
             if (peer.heard().endsWith("\r\n\r\nbody")) {
-                Matcher id = ID.matcher(peer.take());
+                Matcher id = CORRELATION_ID.matcher(peer.take());
                 if (id.find()) {
                     peer.say(answer("202 Accepted", ""));
                     Run run = new Run(id.group(1), server.id, System.nanoTime() + RUN_MS * 1_000_000L);
-                    tell(caller, run, "started\"");
+                    sendEvent(caller, run, "started\"");
                     runs.add(run);
                 }
             }
@@ -137,15 +148,15 @@
     }
 
     @Test
-    void sixteenTimesTheServersNeedLittleMore() throws Exception {
-        Usage usual = run(USUAL);
-        Usage many = run(MANY);
-        String both = usual + " and " + many;
-        double thousands = MANY / 1000.0;
-        assertTrue(many.connections <= 2.5 * usual.connections + 40, both);
-        assertTrue(many.descriptors <= 2 * usual.descriptors + 40, both);
-        assertTrue(many.memoryMb <= 1.5 * usual.memoryMb + 8 + 4 * thousands, both);
-        assertTrue(many.cpuSeconds <= 1.4 * usual.cpuSeconds + 0.02 + 0.12 * thousands, both);
-        assertTrue(many.served >= 0.85 * usual.served && usual.served > 0.95 * JOBS, both);
+    void resourceUseGrowsLittleWithSixteenTimesTheServers() throws Exception {
+        Usage baseline = run(BASELINE_SERVERS);
+        Usage many = run(MANY_SERVERS);
+        String both = baseline + " and " + many;
+        double thousands = MANY_SERVERS / 1000.0;
+        assertTrue(many.connections <= 2.5 * baseline.connections + 40, both);
+        assertTrue(many.descriptors <= 2 * baseline.descriptors + 40, both);
+        assertTrue(many.memoryMb <= 1.5 * baseline.memoryMb + 8 + 4 * thousands, both);
+        assertTrue(many.cpuSeconds <= 1.4 * baseline.cpuSeconds + 0.02 + 0.12 * thousands, both);
+        assertTrue(many.served >= 0.85 * baseline.served && baseline.served > 0.95 * JOBS, both);
     }
 }
--- a/src/test/java/beechseam/platform/RouteTableFreshnessTest.java
+++ b/src/test/java/beechseam/platform/RouteTableFreshnessTest.java
@@ -7,28 +7,28 @@
 import beechseam.platform.RouteTableFreshness.State;
 import org.junit.jupiter.api.Test;
 
-/** When the route table counts as current, in virtual time, for a process that may not run for a while. */
+/** Freshness of the route table in virtual time, for a process that may stall. */
 class RouteTableFreshnessTest {
-    private static final long MS = 1_000_000L;
-    private static final long STALL = 150 * MS;
-    private static final long PATIENCE = 1000 * MS;
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long STALL = 150 * MILLISECOND;
+    private static final long RESPONSE_TIMEOUT = 1000 * MILLISECOND;
     private static final long HEARTBEAT = STALL / 2;
 
     private final TimerQueue timers = new TimerQueue();
-    private long now = 77_000 * MS;
-    private long askedAt = now;
-    private int calls;
-    private int opened;
+    private long now = 77_000 * MILLISECOND;
+    private long callStartedAt = now;
+    private int recheckCount;
+    private int openCount;
     private final RouteTableFreshness freshness =
-            new RouteTableFreshness(() -> now, timers, STALL, PATIENCE, this::readUnread, () -> {
-                calls++;
-                askedAt = now;
+            new RouteTableFreshness(() -> now, timers, STALL, RESPONSE_TIMEOUT, this::readUnread, () -> {
+                recheckCount++;
+                callStartedAt = now;
             });
-    /** What the next reading of the sockets finds. */
+    /** What the next read of the sockets does; null if nothing is unread. */
     private Runnable unread;
 
     RouteTableFreshnessTest() {
-        freshness.onOpen(() -> opened++);
+        freshness.onOpen(() -> openCount++);
         freshness.start();
     }
 
@@ -36,15 +36,15 @@
         if (unread == null) {
             return false;
         }
-        Runnable found = unread;
+        Runnable reading = unread;
         unread = null;
-        found.run();
+        reading.run();
         return true;
     }
 
-    /** The process runs all the time. */
-    private void run(long ns) {
-        long end = now + ns;
+    /** Advances the clock without a stall. */
+    private void run(long durationNs) {
+        long end = now + durationNs;
         for (Timer due = timers.due(end); due != null; due = timers.due(end)) {
             now = Math.max(now, due.due());
             due.run();
@@ -52,163 +52,165 @@
         now = end;
     }
 
-    /** The process does not run, and then sees to the timers that are due. */
-    private void stall(long ns) {
-        now += ns;
+    /** The process does not run for this time, and then fires the timers that are due. */
+    private void stall(long durationNs) {
+        now += durationNs;
         for (Timer due = timers.due(now); due != null; due = timers.due(now)) {
             due.run();
         }
     }
 
-    private void confirmed() {
-        freshness.answered(askedAt, 0);
+    private void confirm() {
+        freshness.onResponse(callStartedAt, 0);
         assertEquals(State.CONFIRMED, freshness.state());
     }
 
     @Test
-    void closedFromTheStartUntilTheAnswer() {
+    void closedFromStartUntilFirstResponse() {
         assertFalse(freshness.open() || freshness.hasOpened());
-        run(20 * MS);
+        run(20 * MILLISECOND);
         assertFalse(freshness.open());
-        assertTrue(freshness.answered(askedAt, 0));
+        assertTrue(freshness.onResponse(callStartedAt, 0));
         assertTrue(freshness.open() && freshness.hasOpened());
-        assertEquals(1, opened);
+        assertEquals(1, openCount);
         assertEquals(0, freshness.opensWithinNs());
     }
 
     @Test
-    void opensUnconfirmedWhereDiscoveryHasHadItsTime() {
-        run(PATIENCE - MS);
+    void opensUnconfirmedAfterResponseTimeout() {
+        run(RESPONSE_TIMEOUT - MILLISECOND);
         assertFalse(freshness.open());
         assertTrue(freshness.opensWithinNs() <= HEARTBEAT);
         run(HEARTBEAT);
         assertEquals(State.UNCONFIRMED, freshness.state());
         assertTrue(freshness.open());
-        assertEquals(1, opened);
-        assertTrue(freshness.answered(askedAt, 0));
+        assertEquals(1, openCount);
+        assertTrue(freshness.onResponse(callStartedAt, 0));
         assertEquals(State.CONFIRMED, freshness.state());
-        assertEquals(1, opened, "it was open");
+        assertEquals(1, openCount, "it was open");
     }
 
-    /** No clock alone: a process that did not run has not given discovery its time. */
+    /** The clock alone does not count: a process that did not run could not read a response. */
     @Test
-    void timeInWhichTheProcessDoesNotRunIsNotCounted() {
-        stall(10 * PATIENCE);
+    void responseTimeoutDoesNotElapseDuringStall() {
+        stall(10 * RESPONSE_TIMEOUT);
         assertFalse(freshness.open());
         for (int i = 0; i < 5; i++) {
-            stall(400 * MS);
+            stall(400 * MILLISECOND);
             assertFalse(freshness.open());
         }
-        run(PATIENCE);
+        run(RESPONSE_TIMEOUT);
         assertTrue(freshness.open());
     }
 
-    /** The answer lies unread in the socket when the time is over. */
+    /** The response lies unread in the socket at the timeout. */
     @Test
-    void anUnreadAnswerIsReadBeforeTheTimeIsOver() {
-        run(PATIENCE - 10 * MS);
-        unread = () -> assertTrue(freshness.answered(now - 10 * MS, 0));
+    void unreadResponseIsReadBeforeTimeout() {
+        run(RESPONSE_TIMEOUT - 10 * MILLISECOND);
+        unread = () -> assertTrue(freshness.onResponse(now - 10 * MILLISECOND, 0));
         run(HEARTBEAT);
         assertEquals(State.CONFIRMED, freshness.state());
     }
 
-    /** An idle process is no stopped one. */
+    /** An idle process is not a stalled one. */
     @Test
-    void staysOpenWhileTheProcessRuns() {
-        confirmed();
+    void staysOpenWithoutStall() {
+        confirm();
         for (int i = 0; i < 10_000; i++) {
-            run(3 * MS);
+            run(3 * MILLISECOND);
             assertTrue(freshness.open());
         }
-        assertEquals(0, calls);
+        assertEquals(0, recheckCount);
     }
 
     @Test
-    void closesAfterAStallUntilACallMadeThenIsAnswered() {
-        confirmed();
-        run(500 * MS);
-        now += STALL + MS; // stopped, and then a request comes first
+    void closesAfterStallUntilResponseToLaterCall() {
+        confirm();
+        run(500 * MILLISECOND);
+        now += STALL + MILLISECOND; // stalled, and then a request is handled first
         assertFalse(freshness.open());
-        assertEquals(1, calls);
-        assertFalse(freshness.answered(askedAt - 400 * MS, 0), "an answer to a call from before the stall");
+        assertEquals(1, recheckCount);
+        assertFalse(
+                freshness.onResponse(callStartedAt - 400 * MILLISECOND, 0),
+                "an answer to a call from before the stall");
         assertFalse(freshness.open());
-        now += MS;
-        assertTrue(freshness.answered(askedAt, 0));
+        now += MILLISECOND;
+        assertTrue(freshness.onResponse(callStartedAt, 0));
         assertTrue(freshness.open());
     }
 
-    /** A list that lay unread during the stall is taken in, and does not tell what came after it. */
+    /** A list that lay unread during the stall is applied, but later changes are unknown. */
     @Test
-    void whatWasUnreadDuringAStallDoesNotConfirm() {
-        confirmed();
-        run(500 * MS);
+    void responseUnreadDuringStallDoesNotConfirm() {
+        confirm();
+        run(500 * MILLISECOND);
         unread = () -> {
             assertFalse(freshness.open(), "nothing is sent while it is read");
-            assertFalse(freshness.answered(now - 2000 * MS, 0));
+            assertFalse(freshness.onResponse(now - 2000 * MILLISECOND, 0));
         };
-        stall(1000 * MS);
+        stall(1000 * MILLISECOND);
         assertNull(unread);
         assertFalse(freshness.open());
-        assertEquals(1, calls);
-        assertTrue(freshness.answered(askedAt, 0));
+        assertEquals(1, recheckCount);
+        assertTrue(freshness.onResponse(callStartedAt, 0));
     }
 
-    /** The loop reads discovery's socket before any timer or request asks. */
+    /** The loop reads discovery's socket before any timer or request checks the gate. */
     @Test
-    void anAnswerReadAfterAStallDoesNotConfirm() {
-        confirmed();
-        run(500 * MS);
-        now += 1000 * MS;
-        assertFalse(freshness.answered(now - 1200 * MS, 0));
+    void responseReadAfterStallDoesNotConfirm() {
+        confirm();
+        run(500 * MILLISECOND);
+        now += 1000 * MILLISECOND;
+        assertFalse(freshness.onResponse(now - 1200 * MILLISECOND, 0));
         assertFalse(freshness.open());
-        assertTrue(freshness.answered(now, 0));
+        assertTrue(freshness.onResponse(now, 0));
     }
 
-    /** A long list over a slow line: what changed while it came is asked for before it counts. */
+    /** A long list over a slow connection: changes during its transfer are requested before it counts. */
     @Test
-    void aListThatTookLongToComeDoesNotConfirm() {
-        run(900 * MS);
-        assertFalse(freshness.answered(askedAt, now - STALL - 1));
+    void slowlyReceivedListDoesNotConfirm() {
+        run(900 * MILLISECOND);
+        assertFalse(freshness.onResponse(callStartedAt, now - STALL - 1));
         assertFalse(freshness.open());
-        askedAt = now;
+        callStartedAt = now;
         run(STALL);
-        assertTrue(freshness.answered(askedAt, now - STALL));
+        assertTrue(freshness.onResponse(callStartedAt, now - STALL));
     }
 
-    /** Discovery is down: requests go by the list as held, however often the process is starved. */
+    /** During an outage of discovery the cached list is used, however often the process stalls. */
     @Test
-    void doesNotCloseAfterAStallWhereDiscoveryIsSilentAnyway() {
-        run(2 * PATIENCE);
+    void staysOpenAfterStallDuringDiscoveryOutage() {
+        run(2 * RESPONSE_TIMEOUT);
         assertEquals(State.UNCONFIRMED, freshness.state());
-        stall(1000 * MS);
+        stall(1000 * MILLISECOND);
         assertTrue(freshness.open());
-        assertEquals(0, calls);
-        unread = () -> {}; // it is back: a part of an answer, of unknown age
-        stall(1000 * MS);
+        assertEquals(0, recheckCount);
+        unread = () -> {}; // recovery: a part of a response, of unknown age
+        stall(1000 * MILLISECOND);
         assertFalse(freshness.open());
-        assertEquals(1, calls);
+        assertEquals(1, recheckCount);
     }
 
     @Test
-    void aMoveClosesItAndGivesTheNewAddressAllItsTime() {
-        confirmed();
-        run(300 * MS);
-        long before = askedAt;
-        freshness.moved();
-        askedAt = now;
+    void addressChangeClosesAndRestartsResponseTimeout() {
+        confirm();
+        run(300 * MILLISECOND);
+        long before = callStartedAt;
+        freshness.addressChanged();
+        callStartedAt = now;
         assertFalse(freshness.open());
-        assertFalse(freshness.answered(before, 0));
-        assertEquals(PATIENCE, freshness.opensWithinNs());
-        run(PATIENCE - HEARTBEAT);
+        assertFalse(freshness.onResponse(before, 0));
+        assertEquals(RESPONSE_TIMEOUT, freshness.opensWithinNs());
+        run(RESPONSE_TIMEOUT - HEARTBEAT);
         assertFalse(freshness.open());
         assertTrue(freshness.opensWithinNs() <= 2 * HEARTBEAT);
-        freshness.moved();
-        assertEquals(PATIENCE, freshness.opensWithinNs());
-        assertFalse(freshness.answered(now - PATIENCE, 0));
+        freshness.addressChanged();
+        assertEquals(RESPONSE_TIMEOUT, freshness.opensWithinNs());
+        assertFalse(freshness.onResponse(now - RESPONSE_TIMEOUT, 0));
     }
 
     @Test
-    void stopsItsHeartbeat() {
+    void stopCancelsHeartbeat() {
         freshness.stop();
         assertNull(timers.due(Long.MAX_VALUE));
     }
--- a/src/test/java/beechseam/platform/RouteTableGateTest.java
+++ b/src/test/java/beechseam/platform/RouteTableGateTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * No attempt goes by a route table that discovery may have changed: after a start, a move, and a time in
- * which the process did not run. The loop is turned by hand, so that what a test does not read stays unread.
+ * No attempt is sent by a route table that may be stale: after a start, a change of discovery's address, or a
+ * stall of the process. The test runs the event loop, so that what it does not read stays unread.
  */
 class RouteTableGateTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
-    private static final String OTHER = "s-0000beef";
-    private static final long LONGER_THAN_THE_GRACE_MS = 400;
-    private static final long LONGER_THAN_AN_ANSWER_MS = 1200;
+    private static final String OTHER_ID = "s-0000beef";
+    private static final long STALL_MS = 400;
+    private static final long LONG_STALL_MS = 1200;
 
-    private final List<Peer> other = new ArrayList<>();
-    private final InetSocketAddress otherAt = net.standIn(other);
+    private final List<Peer> otherExecutor = new ArrayList<>();
+    private final InetSocketAddress otherAddress = net.standIn(otherExecutor);
     private PlatformNode node;
 
     @Override
@@ -38,95 +38,111 @@
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
-        called(discovery, 0, "");
+        awaitPoll(discovery, 0, "");
     }
 
     private void startListed() {
         start();
-        say(discovery, 0, list(2, row("SERVING") + "," + otherRow()));
+        respond(discovery, 0, list(2, row("SERVING") + "," + otherEntry()));
         net.until("the list", () -> node.isSynced());
-        called(discovery, 0, "after=2&");
+        awaitPoll(discovery, 0, "after=2&");
     }
 
-    private String otherRow() {
-        return row("SERVING").replace("s-0badcafe", OTHER).replace(":" + executorAt.getPort(), ":" + otherAt.getPort());
+    private String otherEntry() {
+        return row("SERVING")
+                .replace("s-0badcafe", OTHER_ID)
+                .replace(":" + executorAt.getPort(), ":" + otherAddress.getPort());
     }
 
-    private String drained() {
-        return list(7, row("DRAINING") + "," + otherRow());
+    private String drainedList() {
+        return list(7, row("DRAINING") + "," + otherEntry());
     }
 
-    private void called(List<Peer> agent, int connection, String holds) {
+    private String emptyDelta(int version) {
+        return list(version, "").replace("true", "false");
+    }
+
+    /** After a stall a call that does not wait is made, and the request is sent by its response only. */
+    private void pollsAfterStallBeforeSending() {
+        stall(STALL_MS);
+        submit("c1");
+        assertEquals(0, node.counters.attemptsSent);
+        awaitPoll(discovery, 1, "after=2&wait_ms=1 ");
+        respond(discovery, 1, drainedList());
+        assertSentToOther("c1");
+    }
+
+    private void awaitPoll(List<Peer> agent, int connection, String expectedText) {
         net.until(
                 "a call to discovery",
                 () -> agent.size() > connection
-                        && agent.get(connection).heard().contains(holds)
+                        && agent.get(connection).heard().contains(expectedText)
                         && agent.get(connection).heard().endsWith("\r\n\r\n"));
     }
 
-    private static void say(List<Peer> agent, int connection, String list) {
+    private static void respond(List<Peer> agent, int connection, String list) {
         agent.get(connection).take();
         agent.get(connection).say(answer("200 OK", list));
     }
 
-    private static void notRunFor(long ms) {
+    private static void stall(long durationMs) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Taken as from a connection that is read before discovery's. */
-    private void take(String id) {
-        take(node, id);
+    /** Submits a request as from a connection that is read before discovery's. */
+    private void submit(String id) {
+        submit(node, id);
     }
 
-    private static void take(PlatformNode by, String id) {
+    private static void submit(PlatformNode target, String id) {
         Object message = new JobMessage("/safe/x", "X-Correlation-Id: " + id + "\r\n", "body".getBytes());
-        by.engine.submit(id, 0, 30_000_000_000L, 1, 0, message, new AnyAnswer());
+        target.engine.submit(id, 0, 30_000_000_000L, 1, 0, message, new IgnoredReply());
     }
 
-    /** The one attempt has gone to the executor that still serves. */
-    private void goesToTheOther(String id) {
-        net.until("the attempt", () -> !other.isEmpty() && other.get(0).heard().contains(id));
+    /** The only attempt is sent to the executor that is not draining. */
+    private void assertSentToOther(String id) {
+        net.until(
+                "the attempt",
+                () -> !otherExecutor.isEmpty() && otherExecutor.get(0).heard().contains(id));
         net.settle(30);
-        assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")), "by the old list");
+        assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")), "sent by the old list");
         assertEquals(1, node.counters.attemptsSent);
     }
 
-    // ---- Start
-
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRequestBeforeDiscoverysFirstAnswerWaitsAndGoesByIt(boolean drained) {
+    void requestBeforeFirstListIsDeferredAndSentByThatList(boolean drained) {
         start();
         Peer client = ask("c1", "safe", "30000m");
         net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
         assertEquals(0, node.counters.attemptsSent);
-        assertEquals("", client.heard(), "it waits, and is not turned away");
-        say(discovery, 0, drained ? drained() : list(7, row("SERVING")));
+        assertEquals("", client.heard(), "deferred, not shed");
+        respond(discovery, 0, drained ? drainedList() : list(7, row("SERVING")));
         if (drained) {
-            goesToTheOther("c1");
+            assertSentToOther("c1");
         } else {
             attempt(0, "c1");
         }
     }
 
     @Test
-    void withDiscoveryDownRequestsGoByTheListAsHeldAfterTheTimeOfAnAnswer() {
+    void requestsAreSentByCachedListAfterResponseTimeout() {
         start();
         long startedAt = System.nanoTime();
         ask("c1", "safe", "30000m");
         attempt(0, "c1");
-        assertTrue(System.nanoTime() - startedAt > ListWatch.ANSWER_TIMEOUT_NS * 8 / 10);
+        assertTrue(System.nanoTime() - startedAt > ListWatch.RESPONSE_TIMEOUT_NS * 8 / 10);
         assertEquals(RouteTableFreshness.State.UNCONFIRMED, node.routeTable());
         assertFalse(node.isSynced());
     }
 
     @Test
-    void aRequestThatCannotWaitSoLongIsToldWhenToComeBack() {
+    void requestWithShortDeadlineIsShedWithRetryAfter() {
         start();
         Peer client = ask("c1", "safe", "200m");
         net.until(
@@ -137,153 +153,141 @@
         assertEquals(0, node.counters.attemptsSent);
     }
 
-    /** The clock says that discovery has had its time, but this process had none: the answer lies unread. */
+    /** By the clock the response timeout is over, but the process did not run: the response lies unread. */
     @Test
-    void aStarvedStartReadsDiscoverysAnswerBeforeItGoesByItsOldList() {
+    void starvedStartReadsListBeforeUsingCachedOne() {
         start();
-        say(discovery, 0, drained());
-        notRunFor(LONGER_THAN_AN_ANSWER_MS);
-        take("c1");
+        respond(discovery, 0, drainedList());
+        stall(LONG_STALL_MS);
+        submit("c1");
         assertEquals(0, node.counters.attemptsSent);
-        called(discovery, 0, "after=7&");
-        say(discovery, 0, list(7, "").replace("true", "false"));
-        goesToTheOther("c1");
+        awaitPoll(discovery, 0, "after=7&");
+        respond(discovery, 0, emptyDelta(7));
+        assertSentToOther("c1");
     }
 
-    /** The same with nothing read at all: not even the call may have gone out. */
+    /** The same with nothing read at all: even the call may not have been sent. */
     @Test
-    void aStarvedStartGivesDiscoveryItsTime() {
+    void responseTimeoutDoesNotElapseDuringStarvedStart() {
         start();
         for (int i = 0; i < 3; i++) {
-            notRunFor(LONGER_THAN_THE_GRACE_MS);
+            stall(STALL_MS);
             net.settle(1);
         }
-        take("c1");
+        submit("c1");
         assertEquals(0, node.counters.attemptsSent);
-        say(discovery, discovery.size() - 1, drained());
-        goesToTheOther("c1");
+        respond(discovery, discovery.size() - 1, drainedList());
+        assertSentToOther("c1");
     }
 
     @Test
-    void theStateIsToldByHealthAndConsole() throws IOException {
+    void stateIsReportedByHealthAndAdminEndpoint() throws IOException {
         start();
-        Peer early = client().say("GET /_health HTTP/1.1\r\n\r\n");
-        String waiting = heard(early, "ready\n");
+        Peer probe = client().say("GET /_health HTTP/1.1\r\n\r\n");
+        String waiting = heard(probe, "ready\n");
         assertTrue(waiting.startsWith("HTTP/1.1 503"), waiting);
         assertTrue(waiting.contains("X-Route-Table: awaited\r\n"), waiting);
         assertEquals("ERR waiting for discovery's list\n", operator(node.console(), "status"));
-        say(discovery, 0, list(2, row("SERVING")));
+        respond(discovery, 0, list(2, row("SERVING")));
         net.until("the list", () -> node.isSynced());
-        early.say("GET /_health HTTP/1.1\r\n\r\n");
-        String ready = heard(early, "ready\n");
+        probe.say("GET /_health HTTP/1.1\r\n\r\n");
+        String ready = heard(probe, "ready\n");
         assertTrue(ready.startsWith("HTTP/1.1 200") && ready.contains("X-Route-Table: confirmed\r\n"), ready);
         assertEquals("OK\n", operator(node.console(), "status"));
     }
 
-    // ---- Move
-
     @Test
-    void aRequestAfterAMoveOfDiscoveryWaitsForTheNewAddress() throws Exception {
+    void requestAfterAddressChangeIsDeferredUntilListFromNewAddress() throws Exception {
         startListed();
-        List<Peer> moved = new ArrayList<>();
-        node.reload(config(net.standIn(moved), LISTEN));
+        List<Peer> newAgent = new ArrayList<>();
+        node.reload(config(net.standIn(newAgent), LISTEN));
         Peer client = ask("c1", "safe", "30000m");
         net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
         assertEquals(0, node.counters.attemptsSent);
         assertEquals("", client.heard());
-        assertTrue(node.ready(), "a node that has served stays in service meanwhile");
-        called(moved, 0, "");
-        say(moved, 0, drained());
-        goesToTheOther("c1");
+        assertTrue(node.ready(), "a node that has served stays ready");
+        awaitPoll(newAgent, 0, "");
+        respond(newAgent, 0, drainedList());
+        assertSentToOther("c1");
     }
 
-    // ---- A process that did not run
-
-    /** The list and a request have come meanwhile, and the request is seen first. */
+    /** A list and a request have arrived during the stall, and the request is handled first. */
     @Test
-    void aStoppedProcessReadsItsListBeforeItSends() {
+    void stalledProcessReadsListBeforeSending() {
         startListed();
-        say(discovery, 0, drained());
-        notRunFor(LONGER_THAN_THE_GRACE_MS);
-        take("c1");
+        respond(discovery, 0, drainedList());
+        stall(STALL_MS);
+        submit("c1");
         assertEquals(0, node.counters.attemptsSent);
-        called(discovery, 0, "after=7&");
+        awaitPoll(discovery, 0, "after=7&");
         assertEquals(1, discovery.size(), "one call is enough");
-        say(discovery, 0, list(7, "").replace("true", "false"));
-        goesToTheOther("c1");
+        respond(discovery, 0, emptyDelta(7));
+        assertSentToOther("c1");
     }
 
-    /** The watch was answered with nothing, and what came after that has not been asked for. */
+    /** The watch ended without a change, and later changes have not been requested. */
     @Test
-    void aStoppedProcessAsksDiscoveryBeforeItSends() {
+    void stalledProcessPollsDiscoveryBeforeSending() {
         startListed();
-        say(discovery, 0, list(2, "").replace("true", "false"));
-        notRunFor(LONGER_THAN_THE_GRACE_MS);
-        take("c1");
-        assertEquals(0, node.counters.attemptsSent);
-        called(discovery, 1, "after=2&wait_ms=1 ");
-        say(discovery, 1, drained());
-        goesToTheOther("c1");
+        respond(discovery, 0, emptyDelta(2));
+        pollsAfterStallBeforeSending();
     }
 
-    /** The watch is still open, but whether it was all the time nobody can tell. */
+    /** The watch is still pending, but it is unknown whether it was so throughout the stall. */
     @Test
-    void aStoppedProcessAsksBesideAnOpenWatch() {
+    void stalledProcessPollsBesidePendingWatch() {
         startListed();
-        notRunFor(LONGER_THAN_THE_GRACE_MS);
-        take("c1");
-        assertEquals(0, node.counters.attemptsSent);
-        called(discovery, 1, "after=2&wait_ms=1 ");
-        say(discovery, 1, drained());
-        goesToTheOther("c1");
+        pollsAfterStallBeforeSending();
     }
 
-    /** The attempt was decided on before the stop, and waits for its connection to come up. */
+    /** The attempt was dispatched before the stall and waits for its connection. */
     @Test
-    void anAttemptThatWaitedThroughAStopGoesByTheNewList() {
+    void attemptPendingDuringStallIsSentByNewList() {
         startListed();
-        take("c1");
+        submit("c1");
         assertEquals(1, node.counters.attemptsSent);
-        say(discovery, 0, drained());
-        notRunFor(LONGER_THAN_THE_GRACE_MS);
+        respond(discovery, 0, drainedList());
+        stall(STALL_MS);
         net.settle(20);
         assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")));
-        assertTrue(other.stream().noneMatch(each -> each.heard().contains("POST")));
-        called(discovery, 0, "after=7&");
-        say(discovery, 0, list(7, "").replace("true", "false"));
-        net.until("the attempt", () -> !other.isEmpty() && other.get(0).heard().contains("c1"));
+        assertTrue(otherExecutor.stream().noneMatch(each -> each.heard().contains("POST")));
+        awaitPoll(discovery, 0, "after=7&");
+        respond(discovery, 0, emptyDelta(7));
+        net.until(
+                "the attempt",
+                () -> !otherExecutor.isEmpty() && otherExecutor.get(0).heard().contains("c1"));
         assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")));
     }
 
-    // ---- Upgrade
-
-    /** A successor serves by its own list; the elder's does not count for it. */
+    /** A successor process sends by its own list, not by that of its predecessor. */
     @Test
-    void aSuccessorSendsNothingBeforeItsOwnListHasCome() throws Exception {
+    void successorSendsNothingBeforeItsOwnList() throws Exception {
         String state = java.nio.file.Files.createTempDirectory("gate").toString();
-        String keeps = LISTEN + "\"state_dir\":\"" + state + "\",";
-        node = new PlatformNode(net.loop, config(discoveryAt, keeps));
-        called(discovery, 0, "");
-        say(discovery, 0, list(2, row("SERVING") + "," + otherRow()));
+        String extra = LISTEN + "\"state_dir\":\"" + state + "\",";
+        node = new PlatformNode(net.loop, config(discoveryAt, extra));
+        awaitPoll(discovery, 0, "");
+        respond(discovery, 0, list(2, row("SERVING") + "," + otherEntry()));
         net.until("the list", () -> node.isSynced());
-        PlatformNode younger = new PlatformNode(
+        PlatformNode successor = new PlatformNode(
                 net.loop,
                 config(
                         discoveryAt,
-                        keeps.replace(
+                        extra.replace(
                                 "127.0.0.1:0", "127.0.0.1:" + node.address().getPort())));
-        called(discovery, 1, "");
-        take(younger, "c1");
+        awaitPoll(discovery, 1, "");
+        submit(successor, "c1");
         net.settle(100);
-        assertEquals(0, younger.counters.attemptsSent);
-        say(discovery, 1, drained());
-        net.until("the attempt", () -> !other.isEmpty() && other.get(0).heard().contains("c1"));
+        assertEquals(0, successor.counters.attemptsSent);
+        respond(discovery, 1, drainedList());
+        net.until(
+                "the attempt",
+                () -> !otherExecutor.isEmpty() && otherExecutor.get(0).heard().contains("c1"));
         assertTrue(executor.isEmpty());
     }
 
-    /** A client whose answer no test here asks for. */
-    private static final class AnyAnswer implements Ingress {
+    /** A client whose reply is ignored. */
+    private static final class IgnoredReply implements Ingress {
         @Override
         public void served(Request request, byte[] result) {}
 
--- a/src/test/java/beechseam/platform/ServerStartTimesTest.java
+++ b/src/test/java/beechseam/platform/ServerStartTimesTest.java
@@ -10,96 +10,96 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts on the steady clock while the wall clocks of the lists and of the node are stepped. */
+/** Start times on the steady clock while the wall clocks of discovery and of the node are stepped. */
 class ServerStartTimesTest {
-    private static final long MS = 1_000_000L;
-    private static final long S = 1000 * MS;
-    private static final long LONG = ServerStartTimes.CLOSE_NS + 5 * S;
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1000 * MILLISECOND;
+    private static final long LONG_GAP = ServerStartTimes.MAX_CONSECUTIVE_GAP_NS + 5 * SECOND;
 
-    /** The node's clocks; the lists are dated by {@code listMs}. */
-    private long now = 500 * S;
+    /** The node's clocks; lists are dated by the same wall clock plus {@code listStepMs}. */
+    private long now = 500 * SECOND;
 
     private long nodeStepMs;
     private long listStepMs;
-    private final ServerStartTimes times = new ServerStartTimes(() -> now, () -> now / MS + nodeStepMs);
+    private final ServerStartTimes times = new ServerStartTimes(() -> now, () -> now / MILLISECOND + nodeStepMs);
 
     private static Server server(String id, long startedMs) {
         return new Server(id, "", new InetSocketAddress(1), "a", "k", 0, EndpointState.READY, 1, startedMs);
     }
 
     private long listed(String id, long startedMs) {
-        times.begin(false);
-        return times.of(server(id, startedMs));
+        times.beginUpdate(false);
+        return times.startedAtNs(server(id, startedMs));
     }
 
     private long date() {
-        return now / MS + listStepMs;
+        return now / MILLISECOND + listStepMs;
     }
 
     @Test
-    void theFirstListOfAProcessIsDatedByTheWallClock() {
-        times.begin(true);
-        assertEquals(now - 3 * S, times.of(server("a", date() - 3000)));
-        assertEquals(now, times.of(server("b", date() + 3_600_000)), "ahead: it may have started just now");
-        assertEquals(0, times.of(server("c", 0)), "long ago");
-        assertEquals(now - 3 * S, listed("a", date() - 3000), "as held");
-        assertEquals(now - 2 * S, times.of(server("d", date() - 2000)), "on the same list");
+    void firstListIsDatedByWallClock() {
+        times.beginUpdate(true);
+        assertEquals(now - 3 * SECOND, times.startedAtNs(server("a", date() - 3000)));
+        assertEquals(now, times.startedAtNs(server("b", date() + 3_600_000)), "ahead: it may have started just now");
+        assertEquals(0, times.startedAtNs(server("c", 0)), "long ago");
+        assertEquals(now - 3 * SECOND, listed("a", date() - 3000), "as held");
+        assertEquals(now - 2 * SECOND, times.startedAtNs(server("d", date() - 2000)), "on the same list");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -1500, 0, 1500, 3_600_000})
-    void aStartBetweenTwoCloseListsIsNowWhateverItsDateSays(long stepMs) {
+    void startBetweenConsecutiveListsIsNowWhateverItsDate(long stepMs) {
         listed("a", 0);
-        now += S;
+        now += SECOND;
         listStepMs = stepMs;
         long date = date() - 400;
         long first = now;
         assertEquals(first, listed("a", date));
         assertEquals(first, listed("new", date), "and so is one that was not listed");
-        now += S;
+        now += SECOND;
         nodeStepMs = stepMs;
         assertEquals(first, listed("a", date), "the same date is the same start");
-        now += S;
+        now += SECOND;
         assertEquals(now, listed("a", date + 1), "a second restart");
     }
 
     @Test
-    void afterALongGapADateWithinItCounts() {
+    void dateWithinLongGapIsTrusted() {
         listed("a", 0);
         long before = now;
-        now += LONG;
-        long at = now - 2 * S;
-        assertEquals(at, listed("a", at / MS));
-        now += LONG;
-        assertEquals(now, listed("b", before / MS), "it was not listed then");
+        now += LONG_GAP;
+        long at = now - 2 * SECOND;
+        assertEquals(at, listed("a", at / MILLISECOND));
+        now += LONG_GAP;
+        assertEquals(now, listed("b", before / MILLISECOND), "it was not listed then");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -1000, 1000, 3_600_000})
-    void afterALongGapInWhichTheClockWasSteppedNoDateCounts(long stepMs) {
+    void noDateIsTrustedAfterClockStepInLongGap(long stepMs) {
         listed("a", 0);
-        now += LONG;
+        now += LONG_GAP;
         nodeStepMs = stepMs;
         assertEquals(now, listed("a", date() - 4000));
-        now += LONG;
-        assertEquals(now - 2 * S, listed("a", now / MS + stepMs - 2000), "stepped alike, and for good");
+        now += LONG_GAP;
+        assertEquals(now - 2 * SECOND, listed("a", now / MILLISECOND + stepMs - 2000), "stepped alike, and for good");
     }
 
     @Test
-    void whatIsNotListedIsForgotten() {
+    void unlistedServerIsRemoved() {
         listed("a", 5);
-        now += S;
+        now += SECOND;
         times.retain(Set.of("b"));
         assertEquals(now, listed("a", 5));
     }
 
     @Test
-    void noDateOverflows() {
+    void latestDateDoesNotOverflow() {
         assertEquals(now, listed("a", Long.MAX_VALUE));
     }
 
     @Test
-    void aDateBeforeTheSteadyClocksZeroIsLongAgo() {
+    void dateBeforeSteadyClockOriginIsNotZero() {
         assertEquals(1, listed("a", 1 - 3_600_000), "and not 0, which stands for no date");
     }
 }
