--- /dev/null
+++ b/src/main/java/beechseam/fleet/membership/MemberTable.java
@@ -0,0 +1,126 @@
+package beechseam.fleet.membership;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * All members that this one knows, dead and departed ones too, and the set of those that are up, from which one is
+ * drawn in O(1). Iteration is in the order in which members were first heard of.
+ */
+final class MemberTable {
+    /** Draws for each entry asked for, before {@link #sample} settles for fewer. */
+    private static final int DRAWS_PER_ENTRY = 4;
+
+    private final LocalNode local;
+    private final Map<String, MemberEntry> entries = new LinkedHashMap<>();
+    private final List<MemberEntry> up = new ArrayList<>();
+    private final ProbeRound probeRound;
+
+    MemberTable(LocalNode local) {
+        this.local = local;
+        probeRound = new ProbeRound(local.random);
+    }
+
+    /** The entry of another member, or null. */
+    MemberEntry entry(String name) {
+        return entries.get(name);
+    }
+
+    /** A new entry, without a claim yet. */
+    MemberEntry create(String name) {
+        MemberEntry entry = new MemberEntry();
+        entries.put(name, entry);
+        return entry;
+    }
+
+    /** The other members, those that are down included. */
+    Iterable<MemberEntry> others() {
+        return entries.values();
+    }
+
+    /** The other members that are up. */
+    List<MemberEntry> up() {
+        return up;
+    }
+
+    /** The claim held of a name, this process's own included, or null. */
+    Member find(String name) {
+        if (name.equals(local.self().name())) {
+            return local.self();
+        }
+        MemberEntry entry = entries.get(name);
+        return entry == null ? null : entry.member;
+    }
+
+    /** The full state: this process, then all others. */
+    List<Member> all() {
+        List<Member> all = new ArrayList<>(entries.size() + 1);
+        all.add(local.self());
+        entries.values().forEach(entry -> all.add(entry.member));
+        return all;
+    }
+
+    /** The number of members that are up, this process included once it is one. */
+    int size() {
+        return up.size() + (local.isMember() ? 1 : 0);
+    }
+
+    /** Moves an entry into or out of the set of those that are up. */
+    void setUp(MemberEntry entry, boolean isUp) {
+        if (isUp && entry.upIndex == MemberEntry.NOT_UP) {
+            entry.upIndex = up.size();
+            up.add(entry);
+            probeRound.add(entry);
+        } else if (!isUp && entry.upIndex != MemberEntry.NOT_UP) {
+            MemberEntry last = up.remove(up.size() - 1);
+            if (last != entry) {
+                up.set(entry.upIndex, last);
+                last.upIndex = entry.upIndex;
+            }
+            entry.upIndex = MemberEntry.NOT_UP;
+        }
+    }
+
+    /** The member to probe next, or null. */
+    MemberEntry nextToProbe() {
+        return probeRound.next(up);
+    }
+
+    /** Up to {@code count} members that are up, drawn at random, without {@code excluded} (null for none). */
+    List<MemberEntry> sample(int count, MemberEntry excluded) {
+        List<MemberEntry> sampled = new ArrayList<>(count);
+        int candidates = up.size();
+        for (int i = 0; i < DRAWS_PER_ENTRY * count && sampled.size() < count && candidates > 0; i++) {
+            MemberEntry entry = up.get(local.random.nextInt(candidates));
+            if (entry != excluded && !sampled.contains(entry)) {
+                sampled.add(entry);
+            }
+        }
+        return sampled;
+    }
+
+    /** Drops dead and departed members whose retention is over. */
+    void removeExpired() {
+        entries.values()
+                .removeIf(entry -> !entry.member.isUp()
+                        && local.timers.nowNs() - entry.changedAtNs > local.options.tombstoneRetentionNs());
+    }
+
+    /** The same at two members that hold the same processes for up, in whatever order; O(n). */
+    long digest() {
+        long sum = local.isMember() ? hash(local.self()) : 0;
+        for (MemberEntry entry : up) {
+            sum += hash(entry.member);
+        }
+        return sum;
+    }
+
+    /** Mixes name, epoch and process id by the finalizer of SplitMix64. */
+    private static long hash(Member member) {
+        long bits = (member.name().hashCode() * 31L + member.epoch()) * 0x9E3779B97F4A7C15L ^ member.processId();
+        bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
+        return bits ^ bits >>> 27;
+    }
+}
--- /dev/null
+++ b/src/main/java/beechseam/fleet/membership/MemberUpdates.java
@@ -0,0 +1,150 @@
+package beechseam.fleet.membership;
+
+/**
+ * Applies claims about other members, whether received or made by this member's own probes: decides which hold, opens
+ * and ends suspicions, reports changes to the host and queues them for gossip.
+ */
+final class MemberUpdates {
+    private final LocalNode local;
+    private final MemberTable members;
+    private final Dissemination dissemination;
+
+    MemberUpdates(LocalNode local, MemberTable members, Dissemination dissemination) {
+        this.local = local;
+        this.members = members;
+        this.dissemination = dissemination;
+    }
+
+    /**
+     * Merges a received claim about another member.
+     *
+     * @param fullState whether it is from an exchange of full state, where old claims of a death reappear
+     */
+    void merge(Member update, boolean fullState) {
+        MemberEntry entry = members.entry(update.name());
+        if (entry == null) {
+            apply(members.create(update.name()), update, "heard of");
+            return;
+        }
+        Member held = entry.member;
+        if (!update.supersedes(held)) {
+            mergeOlder(entry, update);
+            return;
+        }
+        if (update.status() == MemberStatus.DEAD && fullState && held.isUp() && update.sameProcess(held)) {
+            // The claim may date from the other side of a partition: the member gets the time to refute it.
+            Member suspect = update.withStatus(MemberStatus.SUSPECT, update.accuser());
+            if (suspect.supersedes(held)) {
+                apply(entry, suspect, reason(held, suspect));
+            }
+            return;
+        }
+        if (held.status() == MemberStatus.SUSPECT && update.status() == MemberStatus.ALIVE) {
+            local.counters.refutedSuspects++;
+        }
+        apply(entry, update, reason(held, update));
+    }
+
+    /** A claim that does not replace the one held: a further accuser, or one that is out of date. */
+    private void mergeOlder(MemberEntry entry, Member update) {
+        Member held = entry.member;
+        if (!update.sameProcess(held)) {
+            return;
+        }
+        if (update.status() == MemberStatus.SUSPECT
+                && held.status() == MemberStatus.SUSPECT
+                && update.incarnation() == held.incarnation()) {
+            confirmSuspicion(entry, update.accuser());
+        } else if (held.status() == MemberStatus.DEAD && update.isUp()) {
+            local.counters.staleClaims++;
+        }
+    }
+
+    /** This member's own probe had no ack. */
+    void suspect(MemberEntry entry) {
+        Member member = entry.member;
+        String accuser = local.self().name();
+        if (member.status() == MemberStatus.ALIVE) {
+            local.counters.suspicions++;
+            apply(entry, member.withStatus(MemberStatus.SUSPECT, accuser), "suspected by " + accuser);
+        } else if (member.status() == MemberStatus.SUSPECT) {
+            confirmSuspicion(entry, accuser);
+        }
+    }
+
+    /** Grants every suspect the time for which this process was paused until {@code atNs}. */
+    void extendSuspicions(long pauseNs, long atNs) {
+        for (MemberEntry entry : members.up()) {
+            if (entry.suspicion != null) {
+                entry.suspicion.extend(pauseNs, atNs, local.timers);
+            }
+        }
+    }
+
+    private void apply(MemberEntry entry, Member member, String reason) {
+        Member before = entry.member;
+        entry.member = member;
+        entry.changedAtNs = local.timers.nowNs();
+        if (entry.suspicion != null) {
+            entry.suspicion.cancel();
+            entry.suspicion = null;
+        }
+        members.setUp(entry, member.isUp());
+        if (member.status() == MemberStatus.SUSPECT) {
+            beginSuspicion(entry);
+        }
+        if (before == null || before.status() != member.status() || !before.sameProcess(member)) {
+            local.reportChange(before, member, reason);
+        }
+        if (before != null || member.isUp()) { // deaths from before this process joined are not gossiped again
+            dissemination.enqueue(entry, member);
+        }
+    }
+
+    private void beginSuspicion(MemberEntry entry) {
+        MembershipOptions options = local.options;
+        double probeIntervals = options.suspicionMultiplier() * Math.max(1, Math.log10(Math.max(1, members.size())));
+        long minTimeoutNs = (long) (probeIntervals * options.probeIntervalNs());
+        int expectedConfirmations = options.localHealthEnabled()
+                ? Math.min(options.indirectChecks(), Math.max(0, members.up().size() - 1))
+                : 0;
+        long maxTimeoutNs =
+                expectedConfirmations == 0 ? minTimeoutNs : (long) (minTimeoutNs * options.maxSuspicionMultiplier());
+        entry.suspicion = new Suspicion(
+                entry.member.accuser(), local.timers.nowNs(), minTimeoutNs, maxTimeoutNs, expectedConfirmations);
+        entry.suspicion.start(local.timers, () -> confirmDead(entry));
+    }
+
+    private void confirmSuspicion(MemberEntry entry, String accuser) {
+        if (entry.suspicion != null && entry.suspicion.confirm(accuser, local.timers)) {
+            // Gossiped under the new accuser's name, so that others count it too.
+            dissemination.enqueue(entry, entry.member.withStatus(MemberStatus.SUSPECT, accuser));
+        }
+    }
+
+    private void confirmDead(MemberEntry entry) {
+        local.counters.confirmedDeaths++;
+        Member dead = entry.member.withStatus(MemberStatus.DEAD, entry.member.accuser());
+        apply(entry, dead, deathReason(dead));
+    }
+
+    private static String reason(Member held, Member update) {
+        return switch (update.status()) {
+            case ALIVE -> aliveReason(held, update);
+            case SUSPECT -> "suspected by " + update.accuser();
+            case DEAD -> deathReason(update);
+            case LEFT -> "has left";
+        };
+    }
+
+    private static String aliveReason(Member held, Member update) {
+        if (!update.sameProcess(held)) {
+            return "restarted";
+        }
+        return held.status() == MemberStatus.SUSPECT ? "contradicts" : "is back";
+    }
+
+    private static String deathReason(Member dead) {
+        return "declared dead, accused by " + dead.accuser();
+    }
+}
--- a/src/main/java/beechseam/fleet/membership/Message.java
+++ b/src/main/java/beechseam/fleet/membership/Message.java
@@ -2,56 +2,96 @@
 
 import java.util.List;
 
-/** What nodes say to each other of who is there. {@code news} goes along with whatever is said anyway. */
+/** What members send to each other. Every message carries gossip updates ({@link #updates}) beside its own content. */
 public sealed interface Message {
-    List<Standing> news();
+    /** Approximate bytes that each message takes. */
+    int FRAME_BYTES = 12;
+    /** Approximate bytes of the content of a message with at most a sequence number. */
+    int SMALL_CONTENT_BYTES = 6;
+
+    /** Gossip updates carried along, in the order in which they are to be applied; never null, may be empty. */
+    List<Member> updates();
 
     /**
-     * Are you there? {@code target} and {@code life} say who is meant: another process at that address is
-     * silent. A life of 0 means whoever has the name.
+     * Asks the target whether it is alive. Another process than the one meant does not acknowledge.
+     *
+     * @param sequence  chosen by the sender, returned in {@link Ack}
+     * @param target    name of the member that is meant
+     * @param processId of the process that is meant, 0 for whichever holds the name
+     * @param updates   gossip updates
      */
-    record Ping(long sequence, String target, long life, List<Standing> news) implements Message {}
+    record Ping(long sequence, String target, long processId, List<Member> updates) implements Message {
+        private static final int FIXED_BYTES = 16;
 
-    /** Ask the target for me, I do not hear it; to be answered by {@link Ack} or, in time, {@link Nack}. */
-    record PingRequest(long sequence, String target, long life, String address, List<Standing> news)
-            implements Message {}
+        @Override
+        public int contentBytes() {
+            return FIXED_BYTES + target.length();
+        }
+    }
 
-    /** The answer to a ping, or to a request for one: the target is there. */
-    record Ack(long sequence, List<Standing> news) implements Message {}
+    /**
+     * Asks the receiver to ping the target on the sender's behalf (indirect ping).
+     *
+     * @param sequence  chosen by the sender, returned in {@link Ack} or {@link Nack}
+     * @param target    name of the member to ping
+     * @param processId of the process that is meant
+     * @param address   of the target
+     * @param updates   gossip updates
+     */
+    record PingRequest(long sequence, String target, long processId, String address, List<Member> updates)
+            implements Message {
+        private static final int FIXED_BYTES = 18;
 
-    /** I am there, but the target does not answer me either. */
-    record Nack(long sequence, List<Standing> news) implements Message {}
+        @Override
+        public int contentBytes() {
+            return FIXED_BYTES + target.length() + address.length();
+        }
+    }
 
-    /** News alone, where there is some and nothing else to say. */
-    record Gossip(List<Standing> news) implements Message {}
+    /** Answer to a {@link Ping} or {@link PingRequest} of this sequence number: the target is alive. */
+    record Ack(long sequence, List<Member> updates) implements Message {}
 
-    /** A process asks to be let in under the name of {@code self}; its epoch counts for nothing yet. */
-    record Join(Standing self, List<Standing> news) implements Message {}
+    /** Answer to a {@link PingRequest} of this sequence number: the target has not answered its sender either. */
+    record Nack(long sequence, List<Member> updates) implements Message {}
 
-    /** Let in: all that is known, the name's earlier lives too. */
-    record Welcome(List<Standing> news) implements Message {}
+    /** Gossip updates alone. */
+    record Gossip(List<Member> updates) implements Message {}
 
-    /** Not let in. */
-    record Refusal(String why, List<Standing> news) implements Message {}
+    /** A process asks to join as {@code joiner}; the epoch given there is not relied on. */
+    record Join(Member joiner, List<Member> updates) implements Message {
+        @Override
+        public int contentBytes() {
+            return joiner.approximateBytes();
+        }
+    }
 
-    /** All that is known; whoever gets one with {@code reply} false sends his own back. */
-    record Exchange(boolean reply, List<Standing> news) implements Message {}
+    /** The join is accepted; {@code updates} is the full state, with earlier processes of the joiner's name. */
+    record JoinAccepted(List<Member> updates) implements Message {}
 
-    /** About how many bytes it takes on a link, its frame included. */
-    default int weight() {
-        int sum = 12;
-        for (Standing each : news()) {
-            sum += each.weight();
-        }
-        if (this instanceof Ping p) {
-            return sum + 16 + p.target.length();
-        }
-        if (this instanceof PingRequest p) {
-            return sum + 18 + p.target.length() + p.address.length();
+    /** The join is rejected; {@code reason} is text for operators. */
+    record JoinRejected(String reason, List<Member> updates) implements Message {
+        private static final int FIXED_BYTES = 2;
+
+        @Override
+        public int contentBytes() {
+            return FIXED_BYTES + reason.length();
         }
-        if (this instanceof Join j) {
-            return sum + j.self.weight();
+    }
+
+    /** The sender's full state (push-pull); a receiver answers with its own unless {@code reply} is set. */
+    record StateExchange(boolean reply, List<Member> updates) implements Message {}
+
+    /** Approximate size on a link, in bytes, frame included. */
+    default int approximateBytes() {
+        int bytes = FRAME_BYTES + contentBytes();
+        for (Member update : updates()) {
+            bytes += update.approximateBytes();
         }
-        return this instanceof Refusal r ? sum + r.why.length() + 2 : sum + 6;
+        return bytes;
+    }
+
+    /** Approximate size of what the message holds beside its updates, in bytes. */
+    default int contentBytes() {
+        return SMALL_CONTENT_BYTES;
     }
 }
--- /dev/null
+++ b/src/main/java/beechseam/fleet/membership/StateExchanger.java
@@ -0,0 +1,79 @@
+package beechseam.fleet.membership;
+
+import beechseam.fleet.membership.Message.StateExchange;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Anti-entropy by push-pull: in each interval the full state goes to one random member that is up, and to one that is
+ * held for dead or a seed that is no member, since after a partition each side holds the other for dead. O(n) an
+ * exchange.
+ */
+final class StateExchanger {
+    /** Up to this size the interval is the configured one; above, it grows with the logarithm of the size. */
+    private static final double SCALING_THRESHOLD = 32;
+
+    private final LocalNode local;
+    private final MemberTable members;
+
+    StateExchanger(LocalNode local, MemberTable members) {
+        this.local = local;
+        this.members = members;
+    }
+
+    /** Schedules the first exchange. */
+    void start() {
+        local.timers.after(local.jittered(intervalNs()), this::exchange);
+    }
+
+    /** Answers another member's exchange with this one's full state. */
+    void onExchange(String name, String address, StateExchange message) {
+        if (!message.reply() && local.phase() != MembershipPhase.JOINING) {
+            local.host.send(name, address, new StateExchange(true, members.all()));
+        }
+    }
+
+    private void exchange() {
+        if (!local.isMember()) {
+            return;
+        }
+        for (MemberEntry entry : members.sample(1, null)) {
+            local.send(entry.member, new StateExchange(false, members.all()));
+        }
+        members.removeExpired();
+        List<Member> lost = lostMembers();
+        if (!lost.isEmpty()) {
+            Member receiver = lost.get(local.random.nextInt(lost.size()));
+            local.send(receiver, new StateExchange(false, members.all()));
+        }
+        long delayNs = lost.isEmpty() ? intervalNs() : Math.min(intervalNs(), local.options.stateExchangeIntervalNs());
+        local.timers.after(local.jittered(delayNs), this::exchange);
+    }
+
+    /** Those held for dead, and the seeds at whose address no member is up. */
+    private List<Member> lostMembers() {
+        List<Member> lost = new ArrayList<>();
+        Set<String> upAddresses = new HashSet<>();
+        for (MemberEntry entry : members.others()) {
+            if (entry.member.isUp()) {
+                upAddresses.add(entry.member.address());
+            } else if (entry.member.status() == MemberStatus.DEAD) {
+                lost.add(entry.member);
+            }
+        }
+        for (String seed : local.otherSeeds()) {
+            if (!upAddresses.contains(seed)) {
+                lost.add(new Member("", seed, 0, 0, 0, MemberStatus.DEAD, "", Map.of()));
+            }
+        }
+        return lost;
+    }
+
+    private long intervalNs() {
+        double ratio = members.size() / SCALING_THRESHOLD;
+        return (long) (local.options.stateExchangeIntervalNs() * Math.max(1, 1 + Math.log(ratio) / Math.log(2)));
+    }
+}
--- a/src/main/java/beechseam/fleet/model/VirtualFleet.java
+++ b/src/main/java/beechseam/fleet/model/VirtualFleet.java
@@ -1,13 +1,15 @@
 package beechseam.fleet.model;
 
 import beechseam.core.Timer;
+import beechseam.fleet.membership.Member;
+import beechseam.fleet.membership.MemberStatus;
 import beechseam.fleet.membership.Membership;
+import beechseam.fleet.membership.MembershipHost;
+import beechseam.fleet.membership.MembershipOptions;
 import beechseam.fleet.membership.Message;
-import beechseam.fleet.membership.Options;
-import beechseam.fleet.membership.Standing;
-import beechseam.fleet.membership.Standing.State;
 import beechseam.net.TimerQueue;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,224 +17,283 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Many {@link Membership}s on one virtual clock, and a network that delays, loses and cuts. A process that
- * stands still gets all that came meanwhile when it goes on, as one that was stopped does. One event costs
- * O(log of those that wait).
+ * Discrete-event simulation of many {@link Membership}s on one virtual clock, with a network that delays, loses and
+ * partitions. A paused process handles all that arrived meanwhile when it resumes, as a stopped operating system
+ * process does. Nodes are numbered by the caller; a number is kept over restarts. An event costs O(log n) of those
+ * pending. Times are nanoseconds from the start of the simulation.
  */
 public final class VirtualFleet {
-    /** Something that a member holds of another has changed. */
-    public interface Watcher {
-        void changed(int at, Standing before, Standing after, String why);
+    /** Told of each change that a member reports. */
+    @FunctionalInterface
+    public interface ChangeListener {
+        /**
+         * A member's view has changed.
+         *
+         * @param observer number of the node whose view it is
+         * @param before   the state until now, null for a member that was not known
+         * @param after    the state from now on
+         * @param reason   text for operators
+         */
+        void memberChanged(int observer, Member before, Member after, String reason);
     }
 
-    /** Whether a message of one node may reach another now. */
+    /** Decides which messages the network lets through. */
+    @FunctionalInterface
     public interface Network {
-        boolean passes(int from, int to);
+        /** Whether a message sent now by one node reaches another. */
+        boolean delivers(int from, int to);
     }
 
-    /** Something that happens to the process at a place (-1: to none), of that life (-1: of any). */
+    /** An event at one process, dropped if that process has ended by then. */
     private final class Event extends Timer {
-        private final int node;
-        private final int life;
-        private final Runnable what;
-
-        Event(int node, int life, Runnable what) {
-            this.node = node;
-            this.life = life;
-            this.what = what;
+        private static final int NO_NODE = -1;
+        private static final int ANY_GENERATION = -1;
+
+        private final int nodeIndex;
+        private final int generation;
+        private final Runnable action;
+
+        Event(int nodeIndex, int generation, Runnable action) {
+            this.nodeIndex = nodeIndex;
+            this.generation = generation;
+            this.action = action;
         }
 
         @Override
         protected void fire() {
-            now = Math.max(now, due());
-            Node n = node < 0 ? null : nodes.get(node);
-            if (node >= 0 && (n == null || life >= 0 && n.life != life)) {
-                return; // of a process that is gone
+            nowNs = Math.max(nowNs, due());
+            if (nodeIndex == NO_NODE) {
+                action.run();
+                return;
             }
-            if (n != null && n.still) {
-                n.asleep.add(what);
+            Node node = nodes.get(nodeIndex);
+            if (node == null || generation != ANY_GENERATION && node.generation != generation) {
+                return;
+            }
+            if (node.paused) {
+                node.deferred.add(action);
             } else {
-                what.run();
+                action.run();
             }
         }
     }
 
-    /** A process; another in its place has another life. */
-    private final class Node implements Membership.Host {
+    /** One process; its successor under the same number has another generation. */
+    private final class Node implements MembershipHost {
         final int index;
-        final int life;
+        final int generation;
         final Membership membership;
-        final List<Runnable> asleep = new ArrayList<>();
-        boolean still;
-        long wakeAt = Long.MAX_VALUE;
+        /** Events that arrived while the process was paused. */
+        final List<Runnable> deferred = new ArrayList<>();
+
+        boolean paused;
+        long wakeUpAtNs = Long.MAX_VALUE;
 
-        Node(int index, int life, String name, List<String> seeds, Options usual) {
+        Node(int index, int generation, String name, List<String> seeds) {
             this.index = index;
-            this.life = life;
-            Options o = new Options(
-                    usual.probeNs(),
-                    usual.timeoutNs(),
-                    usual.helpers(),
-                    usual.patience(),
-                    usual.doubtful(),
-                    usual.exchangeNs(),
-                    usual.forgetNs(),
-                    usual.health(),
-                    seeds);
-            Standing self = new Standing(
+            this.generation = generation;
+            Member self = new Member(
                     name,
                     address(index),
                     1,
                     random.nextLong() >>> 1,
                     1,
-                    State.ALIVE,
+                    MemberStatus.ALIVE,
                     "",
-                    Map.of("zone", "z" + index % 3));
-            membership = new Membership(self, o, now, random.nextLong(), this);
+                    Map.of("zone", "z" + index % ZONES));
+            membership = new Membership(self, options.withSeeds(seeds), nowNs, random.nextLong(), this);
         }
 
         @Override
         public void send(String name, String address, Message message) {
-            int to = Integer.parseInt(address.substring(1));
-            bytes += message.weight();
-            messages++;
-            if (loss > 0 && random.nextDouble() < loss || !network.passes(index, to)) {
+            int receiver = index(address);
+            bytesSent += message.approximateBytes();
+            messagesSent++;
+            if (lossRate > 0 && random.nextDouble() < lossRate || !network.delivers(index, receiver)) {
                 return;
             }
-            long way = leastDelay + (long) (-Math.log(1 - random.nextDouble()) * meanDelay);
-            String own = membership.own().name();
-            push(now + way, to, -1, () -> {
-                Node n = nodes.get(to);
-                if (n != null) {
-                    n.membership.received(now, own, address(index), message);
-                    n.wake();
+            long delayNs = MIN_DELAY_NS + (long) (-Math.log(1 - random.nextDouble()) * MEAN_EXTRA_DELAY_NS);
+            String sender = membership.self().name();
+            schedule(nowNs + delayNs, receiver, Event.ANY_GENERATION, () -> {
+                Node node = nodes.get(receiver);
+                if (node != null) {
+                    node.membership.receive(nowNs, sender, address(index), message);
+                    node.scheduleWakeUp();
                 }
             });
         }
 
         @Override
-        public void changed(Standing before, Standing after, String why) {
-            if (watcher != null) {
-                watcher.changed(index, before, after, why);
-            }
+        public void memberChanged(Member before, Member after, String reason) {
+            listener.memberChanged(index, before, after, reason);
         }
 
         @Override
-        public void refused(String why) {
-            refusals.put(index, why);
+        public void rejected(String reason) {
+            rejections.put(index, reason);
         }
 
-        void wake() {
-            long at = membership.nextAt();
-            if (at < wakeAt) {
-                wakeAt = at;
-                push(at, index, life, () -> {
-                    wakeAt = Long.MAX_VALUE;
-                    membership.advance(now);
-                    wake();
+        void scheduleWakeUp() {
+            long dueNs = membership.nextDueNs();
+            if (dueNs < wakeUpAtNs) {
+                wakeUpAtNs = dueNs;
+                schedule(dueNs, index, generation, () -> {
+                    wakeUpAtNs = Long.MAX_VALUE;
+                    membership.advance(nowNs);
+                    scheduleWakeUp();
                 });
             }
         }
     }
 
-    /** Of all messages: this share is lost, each by itself. */
-    public double loss;
+    private static final String ADDRESS_PREFIX = "n";
+    private static final int ZONES = 3;
+    /** Seeds of the nodes that {@link #startAll} and {@link #restart} start. */
+    private static final int[] DEFAULT_SEEDS = {0, 1, 2};
+    /** A message takes this long and an exponentially distributed time on top. */
+    private static final long MIN_DELAY_NS = 200_000;
 
-    public Network network = (from, to) -> true;
-    public Watcher watcher;
-    /** Delays: this much, and on top an exponential one of this mean. */
-    public long leastDelay = 200_000;
+    private static final long MEAN_EXTRA_DELAY_NS = 300_000;
 
-    public long meanDelay = 300_000;
-    public long bytes;
-    public long messages;
-    public final Map<Integer, String> refusals = new HashMap<>();
-    private final Options options;
+    private final MembershipOptions options;
     private final Random random;
     private final Map<Integer, Node> nodes = new HashMap<>();
     private final TimerQueue events = new TimerQueue();
-    private long now;
-    private int lives;
+    private final Map<Integer, String> rejections = new HashMap<>();
+    private double lossRate;
+    private Network network = (from, to) -> true;
+    private ChangeListener listener = (observer, before, after, reason) -> {};
+    private long bytesSent;
+    private long messagesSent;
+    private long nowNs;
+    private int lastGeneration;
 
-    public VirtualFleet(Options options, long seed) {
+    /** An empty fleet; {@code options} are those of every node but for the seeds, {@code seed} is of all draws. */
+    public VirtualFleet(MembershipOptions options, long seed) {
         this.options = options;
         random = new Random(seed);
     }
 
-    public long now() {
-        return now;
+    /** The virtual time, in nanoseconds. */
+    public long nowNs() {
+        return nowNs;
+    }
+
+    /** Sets the share of messages that are lost, 0 to 1, each independently. */
+    public void setLossRate(double rate) {
+        lossRate = rate;
+    }
+
+    /** Sets which messages are delivered; all, at the start. */
+    public void setNetwork(Network newNetwork) {
+        network = newNetwork;
+    }
+
+    /** Sets who is told of changes from now on, in place of the listener until now. */
+    public void setListener(ChangeListener newListener) {
+        listener = newListener;
+    }
+
+    /** Approximate bytes of all messages sent so far, lost ones included. */
+    public long bytesSent() {
+        return bytesSent;
+    }
+
+    /** Number of all messages sent so far, lost ones included. */
+    public long messagesSent() {
+        return messagesSent;
+    }
+
+    /** The reason for which this node was last rejected, or null. */
+    public String rejection(int index) {
+        return rejections.get(index);
+    }
+
+    private static String address(int index) {
+        return ADDRESS_PREFIX + index;
     }
 
-    public static String address(int index) {
-        return "n" + index;
+    private static int index(String address) {
+        return Integer.parseInt(address.substring(ADDRESS_PREFIX.length()));
     }
 
-    /** Starts a process at this place, in place of the one there; {@code seeds} are places. */
+    /** Starts a process as this node, in place of the one that runs; {@code seeds} are numbers of nodes. */
     public void start(int index, String name, int... seeds) {
-        List<String> addresses = new ArrayList<>();
-        for (int seed : seeds) {
-            addresses.add(address(seed));
-        }
-        Node n = new Node(index, ++lives, name, addresses, options);
-        nodes.put(index, n);
-        n.membership.start(now);
-        n.wake();
+        List<String> addresses =
+                Arrays.stream(seeds).mapToObj(VirtualFleet::address).toList();
+        lastGeneration++;
+        Node node = new Node(index, lastGeneration, name, addresses);
+        nodes.put(index, node);
+        node.membership.start(nowNs);
+        node.scheduleWakeUp();
     }
 
-    /** So many at once, each knowing the first few for seeds. */
+    /** Starts nodes 0 to {@code count - 1} at once, see {@link #restart}. */
     public void startAll(int count) {
         for (int i = 0; i < count; i++) {
-            start(i, "node-" + i, 0, 1, 2);
+            restart(i);
         }
     }
 
-    /** The process is gone, with no word. */
+    /** Starts a process under the node's usual name {@code node-INDEX}, with the first three nodes as seeds. */
+    public void restart(int index) {
+        start(index, "node-" + index, DEFAULT_SEEDS);
+    }
+
+    /** Ends the process without an announcement. */
     public void kill(int index) {
         nodes.remove(index);
     }
 
-    /** The process stands still, or goes on. */
-    public void still(int index, boolean on) {
-        Node n = nodes.get(index);
-        n.still = on;
-        if (!on) {
-            List<Runnable> missed = List.copyOf(n.asleep);
-            n.asleep.clear();
+    /** Pauses the process, or resumes it. */
+    public void setPaused(int index, boolean paused) {
+        Node node = nodes.get(index);
+        node.paused = paused;
+        if (!paused) {
+            List<Runnable> missed = List.copyOf(node.deferred);
+            node.deferred.clear();
             missed.forEach(Runnable::run);
         }
     }
 
-    public Membership at(int index) {
-        Node n = nodes.get(index);
-        return n == null ? null : n.membership;
+    /** The membership of the process that runs as this node, or null. */
+    public Membership membership(int index) {
+        Node node = nodes.get(index);
+        return node == null ? null : node.membership;
     }
 
-    /** To be called after something was done to a machine from outside. */
-    public void touched(int index) {
-        nodes.get(index).wake();
+    /** Lets the process leave. */
+    public void leave(int index) {
+        Node node = nodes.get(index);
+        node.membership.leave(nowNs);
+        node.scheduleWakeUp();
     }
 
-    /** Does it when so much time has passed. */
-    public void after(long span, Runnable what) {
-        push(now + span, -1, -1, what);
+    /** Runs the action once so much virtual time has passed. */
+    public void after(long delayNs, Runnable action) {
+        schedule(nowNs + delayNs, Event.NO_NODE, Event.ANY_GENERATION, action);
     }
 
-    private void push(long at, int node, int life, Runnable what) {
-        events.set(new Event(node, life, what), at);
+    private void schedule(long dueNs, int nodeIndex, int generation, Runnable action) {
+        events.set(new Event(nodeIndex, generation, action), dueNs);
     }
 
-    /** Lets so much time pass. */
-    public void run(long span) {
-        runUntil(span, () -> false);
+    /** Lets so much virtual time pass. */
+    public void run(long durationNs) {
+        runUntil(durationNs, () -> false);
     }
 
-    /** Lets time pass until it holds; false where it does not within the span. Asked after each event. */
-    public boolean runUntil(long span, BooleanSupplier holds) {
-        long end = now + span;
-        while (!holds.getAsBoolean()) {
-            Timer next = events.due(end);
+    /**
+     * Lets virtual time pass until the condition holds, which is evaluated after each event.
+     *
+     * @return false where it did not hold within {@code limitNs}
+     */
+    public boolean runUntil(long limitNs, BooleanSupplier condition) {
+        long endNs = nowNs + limitNs;
+        while (!condition.getAsBoolean()) {
+            Timer next = events.due(endNs);
             if (next == null) {
-                now = end;
+                nowNs = endNs;
                 return false;
             }
             next.run();
@@ -240,16 +301,16 @@
         return true;
     }
 
-    /** Whether all that run hold the same for up, and as many as run. */
-    public boolean agreed() {
-        long digest = 0;
+    /** Whether all running processes hold the same members for up, and as many as run. */
+    public boolean hasConverged() {
+        long expected = 0;
         boolean first = true;
-        for (Node n : nodes.values()) {
-            long each = n.membership.digest();
-            if (n.membership.size() != nodes.size() || !first && each != digest) {
+        for (Node node : nodes.values()) {
+            long digest = node.membership.digest();
+            if (node.membership.size() != nodes.size() || !first && digest != expected) {
                 return false;
             }
-            digest = each;
+            expected = digest;
             first = false;
         }
         return true;
--- a/src/main/java/beechseam/fleet/model/package-info.java
+++ b/src/main/java/beechseam/fleet/model/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Fleets in virtual time: the machines of {@code fleet} unchanged, a simulated network between them and one
- * clock for all, so that what is measured is the same at every run of a seed, at sizes that no sockets reach.
- * It may use {@code fleet.membership}, {@code core}'s timer and {@code net}'s queue of them;
+ * Simulation of whole fleets in virtual time: the unchanged state machines of {@code fleet.membership}, a simulated
+ * network between them and one clock for all, so that a seed gives the same measurements at every run, at sizes that
+ * sockets do not reach. It may use {@code fleet.membership}, {@code core}'s timer and {@code net}'s timer queue;
  * {@code cli} and tests use it.
  */
 package beechseam.fleet.model;
