--- a/src/main/java/beechseam/net/ArrivalTimes.java
+++ b/src/main/java/beechseam/net/ArrivalTimes.java
@@ -2,48 +2,51 @@
 
 import java.util.ArrayDeque;
 
-/** When the bytes came that lie unused in a connection's read buffer. */
+/**
+ * When the unconsumed bytes of a read buffer arrived: one entry a read, in order, with the stream offset of its
+ * last byte. Looking up costs O(reads), of which at most {@link #MAX_READS} are kept.
+ */
 final class ArrivalTimes {
-    /** Reads that are told apart. Bytes of a further one count as come with the last of these, so earlier. */
+    /** Reads told apart. Bytes of a further one count as arrived with the last of these, so earlier than they did. */
     private static final int MAX_READS = 64;
 
     private static final class Read {
-        private final long at;
-        private long end;
+        private final long arrivedNs;
+        private long endOffset;
 
-        private Read(long at, long end) {
-            this.at = at;
-            this.end = end;
+        private Read(long arrivedNs, long endOffset) {
+            this.arrivedNs = arrivedNs;
+            this.endOffset = endOffset;
         }
     }
 
     private final ArrayDeque<Read> reads = new ArrayDeque<>(2);
-    private long total;
+    private long totalBytes;
 
-    /** So many bytes have come now. */
-    void read(int bytes, long now) {
-        total += bytes;
+    /** Notes that this many bytes arrived at {@code nowNs}. */
+    void record(int bytes, long nowNs) {
+        totalBytes += bytes;
         if (reads.size() < MAX_READS) {
-            reads.add(new Read(now, total));
+            reads.add(new Read(nowNs, totalBytes));
         } else {
-            reads.getLast().end = total;
+            reads.getLast().endOffset = totalBytes;
         }
     }
 
-    /** All but the last {@code unused} bytes have been used up. */
-    void keep(int unused) {
-        while (!reads.isEmpty() && reads.getFirst().end <= total - unused) {
+    /** Forgets all but the last {@code unconsumedBytes} bytes. */
+    void retain(int unconsumedBytes) {
+        while (!reads.isEmpty() && reads.getFirst().endOffset <= totalBytes - unconsumedBytes) {
             reads.removeFirst();
         }
     }
 
-    /** When the byte came that {@code behind} others of those read have come behind, or {@code otherwise}. */
-    long of(int behind, long otherwise) {
+    /** When the byte arrived that {@code followingBytes} others have followed, or {@code defaultNs} if unknown. */
+    long arrivedAt(int followingBytes, long defaultNs) {
         for (Read read : reads) {
-            if (read.end >= total - behind) {
-                return read.at;
+            if (read.endOffset >= totalBytes - followingBytes) {
+                return read.arrivedNs;
             }
         }
-        return otherwise;
+        return defaultNs;
     }
 }
--- a/src/main/java/beechseam/net/Connection.java
+++ b/src/main/java/beechseam/net/Connection.java
@@ -7,207 +7,160 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import java.util.ArrayDeque;
 
 /**
- * A TCP connection as an object with callbacks. States: connecting, open, closed. Bytes read are handed on
- * as a slice of the read buffer and stay there until used; bytes to write wait in order until the peer takes
- * them.
+ * A non-blocking stream connection with callbacks, served by an {@link EventLoop}. It is connecting, open or
+ * closed. Input is offered as a slice of the read buffer and stays there until consumed; a full buffer stops
+ * the reading. Output waits in order until the peer accepts it, up to a bound. A connection that fails is closed
+ * first and its owner told afterwards, exactly once.
  */
-public abstract class Connection implements EventLoop.Ready {
-    private static final int MOST_WAITING = 512 * 1024;
-    private static final int MOST_DISCARDED = 1024 * 1024;
-    /** Written at once at most: the runtime copies each piece into direct memory, which is scarce. */
-    private static final int PIECE = 64 * 1024;
-    /** Buffers up to this are gathered into one before they are written together. */
-    private static final int SMALL = 2048;
-
+public abstract class Connection extends ConnectionCallbacks implements EventLoop.Ready {
+    /** The loop that serves this connection. */
     protected final EventLoop loop;
+
     private final SocketChannel channel;
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private final int maxReadBytes;
+    private final OutboundQueue outbound = new OutboundQueue();
+    private final InboundBuffer inbound;
+    /** Null until an outgoing connection is registered. */
     private SelectionKey key;
-    private ByteBuffer in;
-    private long waitingBytes;
-    private boolean connecting;
-    private boolean closed;
-    private boolean closeWhenWritten;
-    private boolean ending;
-    private long discarded;
-    private boolean full;
-    private boolean dropping;
+
+    private ConnectionState state;
+    private AfterLastWrite afterLastWrite = AfterLastWrite.STAY_OPEN;
+    private InputMode inputMode = InputMode.OFFER;
     private boolean offering;
     private boolean peerEnded;
     private boolean readPaused;
-    private boolean flushDue;
-    private long lastActivity;
-    private final ArrivalTimes arrivals = new ArrivalTimes();
+    private boolean flushScheduled;
+    private long discardedBytes;
+    private long lastActivityNs;
 
-    /** An accepted channel, or null for one that {@link #connect} opens; {@code maxReadBytes} bytes are held. */
+    /**
+     * A connection over an accepted channel, or one still to be opened by {@link #connect}.
+     *
+     * @param channel an accepted channel, or null
+     * @param maxReadBytes the most unconsumed bytes that are held
+     */
     protected Connection(EventLoop loop, SocketChannel channel, int maxReadBytes) throws IOException {
         this.loop = loop;
-        this.maxReadBytes = maxReadBytes;
+        this.inbound = new InboundBuffer(loop.buffers, maxReadBytes);
         this.channel = channel != null ? channel : SocketChannel.open();
         this.channel.configureBlocking(false);
         if (this.channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) { // no Unix socket
             this.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
-        lastActivity = loop.now();
-        connecting = channel == null; // bytes written before it is up wait
+        lastActivityNs = loop.now();
+        state = channel == null ? ConnectionState.CONNECTING : ConnectionState.OPEN;
         if (channel != null) {
             key = loop.register(channel, SelectionKey.OP_READ, this);
         }
     }
 
-    // ---- Callbacks
-
-    /** The connection asked for has come up. */
-    protected void connected() {}
-
-    /** New bytes: uses up what it can from the position on. The slice is void after the call. */
-    protected abstract void received(ByteBuffer bytes);
-
-    /** It is gone, by either side; called once, unless {@link #close} was called here. */
-    protected abstract void lost(IOException why);
-
-    /** The most bytes that may wait to be written: a peer that reads no answers must not fill the heap. */
-    protected long maxUnwrittenBytes() {
-        return MOST_WAITING;
-    }
-
-    /** The most that is read and dropped from a peer that goes on sending after the last answer, in bytes. */
-    protected long maxDiscardedBytes() {
-        return MOST_DISCARDED;
-    }
-
-    /**
-     * Whether a read goes on to what the peer has sent last, its end included, before the bytes are offered:
-     * an owner that acts on a request wants to know by then whether the peer has gone behind it.
-     */
-    protected boolean readsUntilPeerCloses() {
-        return false;
-    }
-
     /**
-     * The read buffer is full and its owner uses nothing of it. False stops the reading, until some is used;
-     * true drops all that is in it and that still comes, up to {@link #mostDiscarded}, so that the peer's
-     * close is still noticed.
+     * Back pressure: with true nothing more is read until it is called with false; unconsumed input is then
+     * offered again, from a later task of the loop.
      */
-    protected boolean discardsExcessInput() {
-        return false;
-    }
-
-    /**
-     * Whether what is written waits for the end of the loop's turn, so that many small messages of one turn
-     * go out in one call of the system; more than a piece never waits.
-     */
-    protected boolean batchesWrites() {
-        return false;
-    }
-
-    // ---- What its owner does
-
-    /**
-     * Back pressure: nothing more is read until it is called with false; what is unread then is offered
-     * again.
-     */
-    public final void pauseReading(boolean on) {
-        if (on == readPaused || closed) {
+    public final void pauseReading(boolean paused) {
+        if (paused == readPaused || closed()) {
             return;
         }
-        readPaused = on;
-        if (!connecting) {
-            interest();
+        readPaused = paused;
+        if (!connecting()) {
+            updateInterestOps();
         }
-        if (!on) { // not within a callback of this or another connection, which may still hold the buffer
+        if (!paused) { // not within a callback of this or another connection, which may still hold the buffer
             loop.post(this::processBufferedInput);
         }
     }
 
+    /** Whether {@link #pauseReading} is in effect. */
     public final boolean readingPaused() {
         return readPaused;
     }
 
+    /** Opens an outgoing connection. A failure is reported by {@link #lost}, possibly before this returns. */
     protected final void connect(SocketAddress to) {
         try {
-            boolean up = channel.connect(to);
-            key = loop.register(channel, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-            if (up) {
-                up();
+            boolean established = channel.connect(to);
+            key = loop.register(channel, established ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+            if (established) {
+                handleConnected();
             }
         } catch (IOException | RuntimeException e) {
             fail(e instanceof IOException io ? io : new IOException(e));
         }
     }
 
-    /** Writes now what the peer takes, the rest later. */
+    /**
+     * Writes now what the peer accepts, and the rest later, also what is handed over while still connecting.
+     * The buffers must not be changed until written. Ignored once closed or closing.
+     */
     public final void write(ByteBuffer... parts) {
-        if (closed || closeWhenWritten) {
-            return; // nothing follows the last answer
+        if (closed() || afterLastWrite != AfterLastWrite.STAY_OPEN) {
+            return;
         }
         for (ByteBuffer part : parts) {
-            if (part.hasRemaining()) {
-                waiting.add(part);
-                waitingBytes += part.remaining();
-            }
+            outbound.add(part);
         }
-        if (connecting) {
+        if (connecting()) {
             return;
         }
-        if (!batchesWrites() || waitingBytes > PIECE) {
+        if (!batchesWrites() || outbound.pendingBytes() > OutboundQueue.MAX_WRITE_BYTES) {
             flush();
-        } else if (!flushDue) {
-            flushDue = true;
-            loop.atTurnEnd(() -> {
-                flushDue = false;
-                if (!closed && waitingBytes > 0) {
-                    flush();
-                }
-            });
+        } else if (!flushScheduled) {
+            flushScheduled = true;
+            loop.atTurnEnd(this::flushAtTurnEnd);
         }
     }
 
-    /** Bytes handed over that the peer's side has not taken yet. */
+    private void flushAtTurnEnd() {
+        flushScheduled = false;
+        if (!closed() && outbound.pendingBytes() > 0) {
+            flush();
+        }
+    }
+
+    /** Bytes handed over that the kernel has not accepted; still counted after a close. */
     public final long unwritten() {
-        return waitingBytes;
+        return outbound.pendingBytes();
     }
 
-    /** Closes once all that waits is written; whatever is written after this call is dropped. */
+    /** Closes once all output is written; whatever is written after this call is dropped. */
     public final void closeWhenWritten() {
-        closeWhenWritten = true;
-        if (!connecting && waitingBytes == 0) {
+        if (afterLastWrite == AfterLastWrite.STAY_OPEN) {
+            afterLastWrite = AfterLastWrite.CLOSE;
+        }
+        if (!connecting() && outbound.pendingBytes() == 0) {
             close();
         }
     }
 
     /**
-     * Says no more once all that waits is written, and drops what still comes until the peer closes. Closed
-     * at once, input that nobody has read would reset the connection, and the last answer would be lost with
-     * it. Its owner sees to it that this does not go on for long.
+     * Shuts the output down once all is written, and discards input until the peer closes. A close at once
+     * over unread input would reset the connection, and the last answer would be lost with it. The owner
+     * bounds how long this lasts.
      */
     public final void endWhenWritten() {
-        ending = true;
-        closeWhenWritten = true;
-        if (!connecting && !closed && waitingBytes == 0) {
+        afterLastWrite = AfterLastWrite.HALF_CLOSE;
+        if (state == ConnectionState.OPEN && outbound.pendingBytes() == 0) {
             finish();
         }
     }
 
-    /** Whether the peer's end has been read behind the bytes on offer; it is told as a loss after these. */
+    /** Whether the peer's end has been read behind the bytes on offer; {@link #lost} follows these. */
     protected final boolean peerEnded() {
         return peerEnded;
     }
 
     /** Whether {@link #endWhenWritten} has been called. */
     public final boolean ending() {
-        return ending;
+        return afterLastWrite == AfterLastWrite.HALF_CLOSE;
     }
 
     private void finish() {
         try {
-            if (ending) {
+            if (ending()) {
                 channel.shutdownOutput();
-                interest();
+                updateInterestOps();
             } else {
                 close();
             }
@@ -216,45 +169,39 @@
         }
     }
 
-    /** Closes without a callback. */
+    /** Closes at once, without {@link #lost}; no effect on a closed connection. */
     public final void close() {
-        if (closed) {
+        if (closed()) {
             return;
         }
-        closed = true;
-        if (in != null) {
-            loop.buffers.give(in);
-            in = null;
-        }
-        waiting.clear();
+        state = ConnectionState.CLOSED;
+        inbound.release();
+        outbound.clear();
         EventLoop.closeQuietly(channel);
         loop.descriptorFreed();
         released();
     }
 
-    /** All that waited has been written. */
-    protected void written() {}
-
-    /** Closed, for whatever reason: the owner counts it out. */
-    protected void released() {}
-
+    /** Whether it is closed, by either side. */
     public final boolean closed() {
-        return closed;
+        return state == ConnectionState.CLOSED;
     }
 
+    /** Whether it is still being established. */
     public final boolean connecting() {
-        return connecting && !closed;
+        return state == ConnectionState.CONNECTING;
     }
 
-    /** When bytes last came or went. */
+    /** When bytes were last read or written, in ns of the loop's clock; at first the time of creation. */
     public final long lastActivity() {
-        return lastActivity;
+        return lastActivityNs;
     }
 
+    /** The peer's IP address in text form, or "?" where there is none. */
     public final String peer() {
         try {
-            return channel.getRemoteAddress() instanceof InetSocketAddress a
-                    ? a.getAddress().getHostAddress()
+            return channel.getRemoteAddress() instanceof InetSocketAddress address
+                    ? address.getAddress().getHostAddress()
                     : "?";
         } catch (IOException e) {
             return "?";
@@ -262,12 +209,14 @@
     }
 
     /**
-     * Takes in what the peer has sent already. To be called before a connection that looks idle is closed: a
-     * request that waits unread in the kernel would be lost with it, and on a slow node it may wait for long.
-     * Reads once: whether bytes, or the peer's end, had come.
+     * Reads once what the peer has sent already. To be called before an idle connection is closed: a request
+     * that waits unread in the kernel would be lost with it, and on a slow node it may wait for long.
+     *
+     * @return whether bytes, or the peer's end, had come
      */
     public final boolean catchUp() {
-        if (connecting || closed || ending || readPaused || full || offering || peerEnded) {
+        boolean canRead = state == ConnectionState.OPEN && !readPaused && inputMode != InputMode.FULL && !peerEnded;
+        if (!canRead || ending() || offering) {
             return false;
         }
         try {
@@ -278,41 +227,39 @@
         }
     }
 
-    /** Bytes read and not used up are offered again. */
+    /** Offers input again that was read and not consumed. */
     public final void processBufferedInput() {
-        if (in != null && !closed && !readPaused && in.position() > 0) {
+        if (!closed() && !readPaused && !inbound.isEmpty()) {
             offer();
-            if (!closed) {
-                interest();
+            if (!closed()) {
+                updateInterestOps();
             }
         }
     }
 
-    /** When the byte was read that {@code behind} others on offer have come behind, on the loop's clock. */
+    /** When the byte on offer was read that {@code behind} others have followed, in ns of the loop's clock. */
     protected final long arrivedAt(int behind) {
-        return arrivals.of(behind, lastActivity);
+        return inbound.arrivedAt(behind, lastActivityNs);
     }
 
+    /** Whether input has been read that is not consumed. */
     protected final boolean hasUnused() {
-        return in != null && in.position() > 0;
+        return !inbound.isEmpty();
     }
 
-    // ---- The loop's side
-
     @Override
     public final void ready(SelectionKey ignored) {
         try {
-            if (connecting) {
-                if (!channel.finishConnect()) {
-                    return;
+            if (connecting()) {
+                if (channel.finishConnect()) {
+                    handleConnected();
                 }
-                up();
                 return;
             }
             if (key.isValid() && key.isReadable()) {
                 read();
             }
-            if (!closed && key.isValid() && key.isWritable()) {
+            if (!closed() && key.isValid() && key.isWritable()) {
                 flush();
             }
         } catch (IOException e) {
@@ -320,174 +267,130 @@
         }
     }
 
-    /** A fault in a callback costs this connection: its owner is told, so that nothing of it is kept. */
+    /** An exception from a callback costs this connection: its owner is told, so that nothing of it is kept. */
     @Override
     public final void fault(SelectionKey ignored, Exception why) {
         fail(new IOException("fault in a callback", why));
     }
 
-    private void up() {
-        connecting = false;
-        lastActivity = loop.now();
-        interest();
+    private void handleConnected() {
+        state = ConnectionState.OPEN;
+        lastActivityNs = loop.now();
+        updateInterestOps();
         connected();
-        if (!closed) {
+        if (!closed()) {
             flush();
         }
     }
 
+    /** Reads what has come and passes it on; true where it was anything. */
     private boolean read() throws IOException {
-        if (in == null) {
-            in = loop.buffers.take();
-        }
-        if (ending || dropping) {
-            in.clear();
-        }
-        if (!in.hasRemaining()) {
-            ByteBuffer larger = loop.buffers.larger(in, Math.min(maxReadBytes, in.capacity() * 2));
-            if (larger == null) {
-                throw new IOException("no room for so long a message");
-            }
-            in = larger;
-        }
-        int sum = 0;
-        int n;
-        do { // a buffer that is filled is offered first: what comes behind a long message may wait
-            n = channel.read(in);
-            sum += Math.max(0, n);
-        } while (n > 0 && in.hasRemaining() && readsUntilPeerCloses());
-        peerEnded = n < 0;
-        if (peerEnded && sum == 0) {
+        inbound.acquire();
+        boolean discards = ending() || inputMode == InputMode.DISCARD;
+        if (discards) {
+            inbound.discard();
+        }
+        inbound.ensureRoom();
+        int received = fillBuffer();
+        if (peerEnded && received == 0) {
             throw new IOException("closed by the peer");
         }
-        if (sum > 0 && (ending || dropping)) {
-            in.clear();
-            discarded += sum;
-            if (discarded > maxDiscardedBytes()) {
-                if (ending) {
-                    close();
-                } else {
-                    throw new IOException("the peer sends on and on");
-                }
-            }
-        } else if (sum > 0) {
-            lastActivity = loop.now();
-            arrivals.read(sum, lastActivity);
+        if (received > 0 && discards) {
+            countDiscarded(received);
+        } else if (received > 0) {
+            lastActivityNs = loop.now();
+            inbound.recordArrival(received, lastActivityNs);
             offer();
-        } else if (in.position() == 0) { // nothing has come: the buffer is not kept for it
-            loop.buffers.give(in);
-            in = null;
+        } else if (inbound.isEmpty()) {
+            inbound.release();
         }
-        if (peerEnded && !closed) {
+        if (peerEnded && !closed()) {
             throw new IOException("closed by the peer");
         }
-        if (!closed) {
-            interest();
+        if (!closed()) {
+            updateInterestOps();
+        }
+        return received > 0;
+    }
+
+    private int fillBuffer() throws IOException {
+        int received = 0;
+        int count;
+        do { // a buffer that is filled is offered first: what comes behind a long message may wait
+            count = inbound.readFrom(channel);
+            received += Math.max(0, count);
+        } while (count > 0 && inbound.hasRoom() && readsUntilPeerCloses());
+        peerEnded = count < 0;
+        return received;
+    }
+
+    private void countDiscarded(int bytes) throws IOException {
+        inbound.discard();
+        discardedBytes += bytes;
+        if (discardedBytes > maxDiscardedBytes()) {
+            if (!ending()) {
+                throw new IOException("the peer sends on and on");
+            }
+            close();
         }
-        return sum > 0;
     }
 
     private void offer() {
-        in.flip();
         offering = true;
         try {
-            received(in);
+            received(inbound.flip());
         } finally {
             offering = false;
         }
-        if (closed) {
-            return;
-        }
-        if (in.position() == 0 && in.hasRemaining()) { // nothing was used: no need to move what may be much
-            in.position(in.limit()).limit(in.capacity());
-        } else {
-            in.compact();
-        }
-        arrivals.keep(in.position());
-        if (in.position() == 0) {
-            loop.buffers.give(in);
-            in = null;
-        }
-    }
-
-    private void interest() {
-        full = in != null && in.position() >= maxReadBytes && !ending && !dropping;
-        if (full && !offering && discardsExcessInput()) {
-            dropping = true;
-            full = false;
-            loop.buffers.give(in);
-            in = null;
-        }
-        if (key != null && key.isValid()) {
-            // A full buffer that nobody uses up stops the reading, not the heap.
-            key.interestOps((full || readPaused && !ending ? 0 : SelectionKey.OP_READ)
-                    | (waitingBytes > 0 ? SelectionKey.OP_WRITE : 0));
+        if (!closed()) {
+            inbound.compact();
         }
     }
 
-    /** Small buffers that wait next to each other become one. */
-    private void gather() {
-        if (waiting.size() < 2 || waiting.peekFirst().remaining() > SMALL) {
-            return;
+    private void updateInterestOps() {
+        if (inputMode != InputMode.DISCARD) {
+            inputMode = inbound.isFull() && !ending() ? InputMode.FULL : InputMode.OFFER;
         }
-        int sum = 0;
-        int count = 0;
-        for (ByteBuffer each : waiting) {
-            if (each.remaining() > SMALL || sum + each.remaining() > PIECE) {
-                break;
-            }
-            sum += each.remaining();
-            count++;
+        if (inputMode == InputMode.FULL && !offering && discardsExcessInput()) {
+            inputMode = InputMode.DISCARD;
+            inbound.release();
         }
-        if (count > 1) {
-            ByteBuffer all = ByteBuffer.allocate(sum);
-            for (int i = 0; i < count; i++) {
-                all.put(waiting.pollFirst());
-            }
-            waiting.addFirst(all.flip());
+        if (key != null && key.isValid()) {
+            boolean reads = inputMode != InputMode.FULL && (!readPaused || ending());
+            key.interestOps(
+                    (reads ? SelectionKey.OP_READ : 0) | (outbound.pendingBytes() > 0 ? SelectionKey.OP_WRITE : 0));
         }
     }
 
     private void flush() {
         try {
-            while (!waiting.isEmpty()) {
-                gather();
-                ByteBuffer next = waiting.peekFirst();
-                int end = next.limit();
-                next.limit(Math.min(end, next.position() + PIECE));
-                int n = channel.write(next);
-                boolean taken = !next.hasRemaining();
-                next.limit(end);
-                waitingBytes -= n;
-                if (n > 0) {
-                    lastActivity = loop.now();
-                }
-                if (!taken) {
-                    break;
-                }
-                if (!next.hasRemaining()) {
-                    waiting.removeFirst();
+            boolean accepted = true;
+            while (accepted && !outbound.isEmpty()) {
+                long pendingBefore = outbound.pendingBytes();
+                accepted = outbound.writeNext(channel);
+                if (outbound.pendingBytes() < pendingBefore) {
+                    lastActivityNs = loop.now();
                 }
             }
         } catch (IOException e) {
             fail(e);
             return;
         }
-        if (waitingBytes > maxUnwrittenBytes()) {
+        if (outbound.pendingBytes() > maxUnwrittenBytes()) {
             fail(new IOException("the peer does not read"));
-        } else if (waitingBytes == 0 && closeWhenWritten) {
+        } else if (outbound.pendingBytes() == 0 && afterLastWrite != AfterLastWrite.STAY_OPEN) {
             finish();
-        } else if (!closed) {
-            interest();
-            if (waitingBytes == 0) {
+        } else if (!closed()) {
+            updateInterestOps();
+            if (outbound.pendingBytes() == 0) {
                 written();
             }
         }
     }
 
-    /** It has failed: closed, and its owner is told. */
+    /** Closes a connection that is not closed yet, and reports the reason to {@link #lost}. */
     protected final void fail(IOException why) {
-        if (!closed) {
+        if (!closed()) {
             close();
             lost(why);
         }
--- /dev/null
+++ b/src/main/java/beechseam/net/OutboundQueue.java
@@ -0,0 +1,85 @@
+package beechseam.net;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.WritableByteChannel;
+import java.util.ArrayDeque;
+
+/**
+ * The bytes that a connection has still to write, in order. A long buffer is written in slices of
+ * {@link #MAX_WRITE_BYTES}, and small neighbours are merged into one buffer, so that many short messages cost
+ * one system call. It does not bound itself: its connection compares {@link #pendingBytes} with its limit.
+ */
+final class OutboundQueue {
+    /** The most bytes of one write: the runtime copies each into direct memory, which is scarce. */
+    static final int MAX_WRITE_BYTES = 64 * 1024;
+    /** Buffers of up to this many bytes are merged before they are written. */
+    private static final int MAX_MERGED_BUFFER_BYTES = 2048;
+
+    private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
+    private long pendingBytes;
+
+    /** Appends a buffer; it must not be changed until it is written. An empty one is ignored. */
+    void add(ByteBuffer buffer) {
+        if (buffer.hasRemaining()) {
+            buffers.add(buffer);
+            pendingBytes += buffer.remaining();
+        }
+    }
+
+    /** Bytes added that no write has accepted; {@link #clear} does not reset it. */
+    long pendingBytes() {
+        return pendingBytes;
+    }
+
+    boolean isEmpty() {
+        return buffers.isEmpty();
+    }
+
+    /** Drops the buffers. The count of bytes stays: it tells how much was never sent. */
+    void clear() {
+        buffers.clear();
+    }
+
+    /**
+     * Writes once from the head of a queue that is not empty.
+     *
+     * @return whether the channel accepted all that was offered; false where it takes no more for now
+     */
+    boolean writeNext(WritableByteChannel channel) throws IOException {
+        mergeSmallBuffers();
+        ByteBuffer next = buffers.peekFirst();
+        int end = next.limit();
+        next.limit(Math.min(end, next.position() + MAX_WRITE_BYTES));
+        int written = channel.write(next);
+        boolean accepted = !next.hasRemaining();
+        next.limit(end);
+        pendingBytes -= written;
+        if (accepted && !next.hasRemaining()) {
+            buffers.removeFirst();
+        }
+        return accepted;
+    }
+
+    private void mergeSmallBuffers() {
+        if (buffers.size() < 2 || buffers.peekFirst().remaining() > MAX_MERGED_BUFFER_BYTES) {
+            return;
+        }
+        int mergedBytes = 0;
+        int count = 0;
+        for (ByteBuffer buffer : buffers) {
+            if (buffer.remaining() > MAX_MERGED_BUFFER_BYTES || mergedBytes + buffer.remaining() > MAX_WRITE_BYTES) {
+                break;
+            }
+            mergedBytes += buffer.remaining();
+            count++;
+        }
+        if (count > 1) {
+            ByteBuffer merged = ByteBuffer.allocate(mergedBytes);
+            for (int i = 0; i < count; i++) {
+                merged.put(buffers.pollFirst());
+            }
+            buffers.addFirst(merged.flip());
+        }
+    }
+}
--- a/src/main/java/beechseam/net/TimerQueue.java
+++ b/src/main/java/beechseam/net/TimerQueue.java
@@ -4,15 +4,18 @@
 import beechseam.core.Timers;
 import java.util.TreeSet;
 
-/** Armed timers by their time; those of one time in the order in which they were set. */
+/**
+ * Armed timers ordered by due time; those of one time in the order in which they were set. Setting, cancelling
+ * and taking cost O(log n). It has no clock: times are ns of whichever clock its caller uses.
+ */
 public final class TimerQueue implements Timers {
     private final TreeSet<Timer> queue = new TreeSet<>();
-    private long order;
+    private long lastSequence;
 
     @Override
     public void set(Timer timer, long at) {
         cancel(timer);
-        timer.arm(at, ++order);
+        timer.arm(at, ++lastSequence);
         queue.add(timer);
     }
 
@@ -24,14 +27,16 @@
         }
     }
 
-    /** Time until the next is due, at most {@code most}; 0 when one is due. */
-    public long untilNext(long now, long most) {
-        return queue.isEmpty() ? most : Math.max(0, Math.min(most, queue.first().due() - now));
+    /** Time in ns until the next timer is due, at most {@code maxNs}; 0 when one is due. */
+    public long untilNext(long nowNs, long maxNs) {
+        return queue.isEmpty()
+                ? maxNs
+                : Math.max(0, Math.min(maxNs, queue.first().due() - nowNs));
     }
 
-    /** Takes out the next that is due, or null. */
-    public Timer due(long now) {
-        if (queue.isEmpty() || queue.first().due() > now) {
+    /** Takes out and disarms the first timer due at {@code nowNs}; null when none is. */
+    public Timer due(long nowNs) {
+        if (queue.isEmpty() || queue.first().due() > nowNs) {
             return null;
         }
         Timer next = queue.pollFirst();
--- a/src/test/java/beechseam/net/ConnectionTest.java
+++ b/src/test/java/beechseam/net/ConnectionTest.java
@@ -111,13 +111,13 @@
     void longMessagesThatNobodyUsesUpAreBoundedTogether() throws IOException {
         Buffers buffers = new Buffers(5 * 16 * 1024);
         List<ByteBuffer> lent = new ArrayList<>();
-        for (ByteBuffer b; (b = buffers.larger(buffers.take().put((byte) 7), 16 * 1024)) != null; ) {
+        for (ByteBuffer b; (b = buffers.grow(buffers.acquire().put((byte) 7), 16 * 1024)) != null; ) {
             assertEquals(1, b.position(), "it holds what the other held");
             lent.add(b);
         }
         assertEquals(5, lent.size());
-        buffers.give(lent.remove(0));
-        assertNotNull(buffers.larger(buffers.take(), 16 * 1024), "what is given back is lent again");
+        buffers.release(lent.remove(0));
+        assertNotNull(buffers.grow(buffers.acquire(), 16 * 1024), "what is given back is lent again");
         EventLoop loop = new EventLoop(new Buffers(0));
         try (ServerSocketChannel server = ServerSocketChannel.open().bind(Loopback.anyPort())) {
             boolean[] lost = {false};
--- /dev/null
+++ b/src/test/java/beechseam/net/InboundBufferTest.java
@@ -0,0 +1,55 @@
+package beechseam.net;
+
+import static org.junit.jupiter.api.Assertions.*;
+
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.Channels;
+import org.junit.jupiter.api.Test;
+
+class InboundBufferTest {
+    private static int read(InboundBuffer inbound, int bytes, long nowNs) throws IOException {
+        inbound.acquire();
+        inbound.ensureRoom();
+        int count = inbound.readFrom(Channels.newChannel(new ByteArrayInputStream(new byte[bytes])));
+        inbound.recordArrival(count, nowNs);
+        return count;
+    }
+
+    @Test
+    void unconsumedBytesStayWithTheirArrivalTimes() throws IOException {
+        InboundBuffer inbound = new InboundBuffer(new Buffers(), 64);
+        assertEquals(5, read(inbound, 5, 100));
+        assertEquals(3, read(inbound, 3, 200));
+        assertEquals(200, inbound.arrivedAt(2, 0));
+        assertEquals(100, inbound.arrivedAt(3, 0));
+        ByteBuffer offered = inbound.flip();
+        assertEquals(8, offered.remaining());
+        offered.position(6);
+        inbound.compact();
+        assertFalse(inbound.isEmpty());
+        assertEquals(200, inbound.arrivedAt(7, 0));
+        inbound.flip().position(2);
+        inbound.compact();
+        assertTrue(inbound.isEmpty());
+        assertEquals(0, inbound.arrivedAt(0, 0), "nothing is known once all is consumed");
+    }
+
+    @Test
+    void fullBufferDoublesToItsLimit() throws IOException {
+        InboundBuffer inbound = new InboundBuffer(new Buffers(), 3 * Buffers.SIZE);
+        assertEquals(Buffers.SIZE, read(inbound, 4 * Buffers.SIZE, 1));
+        assertFalse(inbound.isFull());
+        assertEquals(Buffers.SIZE, read(inbound, 4 * Buffers.SIZE, 2));
+        assertEquals(Buffers.SIZE, read(inbound, 4 * Buffers.SIZE, 3));
+        assertTrue(inbound.isFull());
+    }
+
+    @Test
+    void exhaustedPoolFailsTheRead() throws IOException {
+        InboundBuffer inbound = new InboundBuffer(new Buffers(0), 3 * Buffers.SIZE);
+        read(inbound, Buffers.SIZE, 1);
+        assertThrows(IOException.class, inbound::ensureRoom);
+    }
+}
--- /dev/null
+++ b/src/test/java/beechseam/net/OutboundQueueTest.java
@@ -0,0 +1,65 @@
+package beechseam.net;
+
+import static org.junit.jupiter.api.Assertions.*;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.WritableByteChannel;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class OutboundQueueTest {
+    /** Accepts up to a number of bytes and notes the length of each write offered. */
+    private static final class LimitedChannel implements WritableByteChannel {
+        private final List<Integer> offered = new ArrayList<>();
+        private int capacity;
+
+        LimitedChannel(int capacity) {
+            this.capacity = capacity;
+        }
+
+        @Override
+        public int write(ByteBuffer source) {
+            offered.add(source.remaining());
+            int accepted = Math.min(capacity, source.remaining());
+            source.position(source.position() + accepted);
+            capacity -= accepted;
+            return accepted;
+        }
+
+        @Override
+        public boolean isOpen() {
+            return true;
+        }
+
+        @Override
+        public void close() {}
+    }
+
+    @Test
+    void smallBuffersAreMergedAndLongOnesWrittenInSlices() throws IOException {
+        OutboundQueue queue = new OutboundQueue();
+        queue.add(ByteBuffer.allocate(10));
+        queue.add(ByteBuffer.allocate(0));
+        queue.add(ByteBuffer.allocate(20));
+        queue.add(ByteBuffer.allocate(OutboundQueue.MAX_WRITE_BYTES + 1));
+        LimitedChannel channel = new LimitedChannel(Integer.MAX_VALUE);
+        while (!queue.isEmpty()) {
+            assertTrue(queue.writeNext(channel));
+        }
+        assertEquals(List.of(30, OutboundQueue.MAX_WRITE_BYTES, 1), channel.offered);
+        assertEquals(0, queue.pendingBytes());
+    }
+
+    @Test
+    void partialWriteKeepsTheRestAndClearKeepsTheCount() throws IOException {
+        OutboundQueue queue = new OutboundQueue();
+        queue.add(ByteBuffer.allocate(100));
+        assertFalse(queue.writeNext(new LimitedChannel(40)));
+        assertEquals(60, queue.pendingBytes());
+        queue.clear();
+        assertTrue(queue.isEmpty());
+        assertEquals(60, queue.pendingBytes());
+    }
+}
