--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -71,7 +71,7 @@
                     .append('\t')
                     .append(f.running)
                     .append('\t')
-                    .append(f.cohorts.members())
+                    .append(f.groups.memberCount())
                     .append('\n');
         }
         return s.append(END).toString();
@@ -82,10 +82,10 @@
         for (GearmanFunction f : sorted()) {
             s.append(f.name);
             for (int priority = 0; priority < GearmanFunction.PRIORITIES; priority++) {
-                int later = priority == 1 ? f.clock.size() : 0; // those that wait for the clock are normal ones
-                s.append('\t').append(f.lines.waiting(priority) + later);
+                int later = priority == 1 ? f.delayed.size() : 0; // those that wait for the clock are normal ones
+                s.append('\t').append(f.queues.queuedJobs(priority) + later);
             }
-            s.append('\t').append(f.cohorts.members()).append('\n');
+            s.append('\t').append(f.groups.memberCount()).append('\n');
         }
         return s.append(END).toString();
     }
@@ -128,7 +128,7 @@
             return OK; // as published: a function that is not there has no queue to bound
         }
         for (int priority = 0; priority < most.length; priority++) {
-            f.lines.limit(priority, most[priority]);
+            f.queues.setLimit(priority, most[priority]);
         }
         return OK;
     }
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -4,7 +4,7 @@
 import beechseam.dispatch.Idempotency;
 import beechseam.gearman.protocol.Arguments;
 import beechseam.gearman.protocol.Packet;
-import beechseam.gearman.queue.Admission.Refusal;
+import beechseam.gearman.queue.Admission.Rejection;
 import beechseam.gearman.queue.Schedule;
 import java.nio.ByteBuffer;
 import java.time.Instant;
@@ -86,7 +86,7 @@
         try {
             long now = server.loop.now();
             Instant instant = Instant.ofEpochSecond(now / 1_000_000_000L, now % 1_000_000_000L);
-            ZonedDateTime at = Schedule.next(
+            ZonedDateTime at = Schedule.nextMatch(
                     ZonedDateTime.ofInstant(instant, ZoneId.systemDefault()),
                     args.text(2),
                     args.text(3),
@@ -137,10 +137,10 @@
             }
             // Bytes of the whole packet where its array is kept, and what the job costs besides.
             int charge = Jobs.OVERHEAD + args.length(load) + args.length(1);
-            Refusal refusal =
-                    server.admission.check(server.jobs.size(), open, f.lines, mode.ordinal(), charge, server.budget);
-            if (refusal != null) {
-                connection.error(refusal.code(), refusal.why());
+            Rejection rejection =
+                    server.admission.check(server.jobs.size(), open, f.queues, mode.ordinal(), charge, server.budget);
+            if (rejection != null) {
+                connection.error(rejection.code(), rejection.reason());
                 return;
             }
             ByteBuffer workload = args.kept(load);
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -139,14 +139,14 @@
     @Override
     public PacketDecoder.Verdict longPacket(Packet kind, int size) {
         boolean job = kind.name().startsWith("SUBMIT_");
-        if (job && !server.budget.takeJob(size)) {
+        if (job && !server.budget.reserveWorkload(size)) {
             error(
                     "MEMORY_LIMIT",
-                    "max_memory_mb: workloads hold " + server.budget.jobs() + " bytes of " + server.budget.mostJobs()
-                            + ", and this one has " + size);
+                    "max_memory_mb: workloads hold " + server.budget.workloadBytes() + " bytes of "
+                            + server.budget.maxWorkloadBytes() + ", and this one has " + size);
             return PacketDecoder.Verdict.SKIP;
         }
-        if (!job && !server.budget.takeResult(size, server.unread())) {
+        if (!job && !server.budget.reserveResult(size, server.unread())) {
             starved = true;
             server.starved(this);
             rein();
@@ -159,7 +159,7 @@
 
     private void release() {
         if (reserved > 0 && reservedForJob) {
-            server.budget.releaseJob(reserved);
+            server.budget.releaseWorkload(reserved);
         } else if (reserved > 0) {
             server.budget.releaseResult(reserved);
         }
--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -14,12 +14,12 @@
 import beechseam.dispatch.LoadReport;
 import beechseam.dispatch.Outcome;
 import beechseam.dispatch.WorkerEndpoint;
-import beechseam.gearman.queue.Cohorts;
-import beechseam.gearman.queue.Cohorts.Cohort;
-import beechseam.gearman.queue.Cohorts.Member;
-import beechseam.gearman.queue.FunctionTurns;
-import beechseam.gearman.queue.JobLines;
+import beechseam.gearman.queue.FunctionArbiter;
+import beechseam.gearman.queue.PriorityQueues;
 import beechseam.gearman.queue.Schedule;
+import beechseam.gearman.queue.WorkerGroups;
+import beechseam.gearman.queue.WorkerGroups.Group;
+import beechseam.gearman.queue.WorkerGroups.Member;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -31,7 +31,7 @@
  * out of time, so that it is the module that turns it away. While nobody asks for the function it is dormant:
  * its workers come and go without a word to the module, and it is told all when the next job comes.
  */
-final class GearmanFunction implements Egress, FunctionTurns.Contender {
+final class GearmanFunction implements Egress, FunctionArbiter.Contender {
     /** Jobs whose time runs out are handed over so many at once, so that others get their turn in between. */
     private static final int EXPIRED_AT_ONCE = 500;
 
@@ -50,21 +50,21 @@
     private static final int TICKS_AHEAD = 2;
 
     /**
-     * Between two reports of a cohort's load. To date a report the module goes through all that it sent the
-     * cohort in the last seconds: with one at each end, a worker of 5,000 jobs a second cost 800 µs of CPU a
+     * Between two reports of a group's load. To date a report the module goes through all that it sent the
+     * group in the last seconds: with one at each end, a worker of 5,000 jobs a second cost 800 µs of CPU a
      * job.
      */
     private static final long REPORT_GAP_NS = 250_000_000L;
 
     final GearmanServer server;
     final String name;
-    final JobLines<GearmanJob> lines;
-    final Schedule<GearmanJob> clock = new Schedule<>();
-    final Cohorts<WorkerSession> cohorts;
+    final PriorityQueues<GearmanJob> queues;
+    final Schedule<GearmanJob> delayed = new Schedule<>();
+    final WorkerGroups<WorkerSession> groups;
     private final GearmanConfig.Function known;
     private final Counters counters = new Counters();
     private final long leadNs;
-    /** Attempts that a cohort has been given beyond its free workers, by cohort; most of the time none. */
+    /** Attempts that a group has been given beyond its free workers, by group; most of the time none. */
     private final Map<Long, ArrayDeque<Attempt>> parked = new HashMap<>();
 
     private Engine engine;
@@ -97,14 +97,14 @@
         this.name = name;
         this.known = known;
         GearmanConfig.Turns turns = server.config.turns();
-        lines = new JobLines<>(Mode.values().length, PRIORITIES, turns.ageingTurn(), turns.ageingNs());
+        queues = new PriorityQueues<>(Mode.values().length, PRIORITIES, turns.ageingTurn(), turns.ageingNs());
         long aim = Long.MAX_VALUE;
         for (Mode mode : Mode.values()) {
-            lines.limit(mode.priority(), known.maxQueue().of(mode));
+            queues.setLimit(mode.priority(), known.maxQueue().of(mode));
             aim = Math.min(aim, Math.max(known.of(mode).latencyObjectiveNs(), MIN_TICK_NS));
         }
         leadNs = TICKS_AHEAD * Math.max(MIN_TICK_NS, aim / TICKS_PER_AIM);
-        cohorts = new Cohorts<>(server.config.bounds().targets());
+        groups = new WorkerGroups<>(server.config.bounds().targets());
     }
 
     JobClass of(Mode mode) {
@@ -134,8 +134,8 @@
     void enter(GearmanJob job) {
         wake();
         job.stage = GearmanJob.Stage.LINE;
-        job.since = server.loop.now();
-        lines.add(job.mode.ordinal(), job.submitter, job);
+        job.enqueuedAtNs = server.loop.now();
+        queues.add(job.mode.ordinal(), job.submitter, job);
         server.hot(this, true);
         if (!expiry.armed()) {
             server.loop.timers.set(expiry, due(job));
@@ -145,14 +145,14 @@
     /** When a job in line goes before the module whether a worker is free or not. */
     private long due(GearmanJob job) {
         long budget = of(job.mode).deadlineNs();
-        return job.since + budget - Math.min(leadNs, budget / 2);
+        return job.enqueuedAtNs + budget - Math.min(leadNs, budget / 2);
     }
 
-    /** A job waits until a time of the host's clock. */
+    /** A job waits until a time of the host's clock, in nanoseconds. */
     void later(GearmanJob job, long at) {
         job.stage = GearmanJob.Stage.CLOCK;
-        job.dueMark = clock.add(at, job);
-        server.loop.timers.set(due, clock.next());
+        job.ticket = delayed.add(at, job);
+        server.loop.timers.set(due, delayed.nextDueNs());
     }
 
     /** Jobs whose time has come, however many of one instant: a part, then others get their turn. */
@@ -160,31 +160,31 @@
         long now = server.loop.now();
         GearmanJob job = null;
         for (int i = 0; i < EXPIRED_AT_ONCE; i++) {
-            job = clock.due(now);
+            job = delayed.pollDue(now);
             if (job == null) {
                 break;
             }
             enter(job);
         }
         feed();
-        if (clock.size() > 0) {
-            server.loop.timers.set(due, Math.max(clock.next(), now + SOON_NS));
+        if (delayed.size() > 0) {
+            server.loop.timers.set(due, Math.max(delayed.nextDueNs(), now + SOON_NS));
         }
     }
 
     /** A job that waits leaves; nothing of it has run. */
     void withdraw(GearmanJob job) {
         if (job.stage == GearmanJob.Stage.CLOCK) {
-            clock.remove(job.dueMark);
+            delayed.remove(job.ticket);
         } else {
             job.stage = GearmanJob.Stage.ENDED;
-            lines.left(job.mode.ordinal());
+            queues.jobRemoved(job.mode.ordinal());
             cool();
         }
     }
 
     private void cool() {
-        if (lines.size() == 0) {
+        if (queues.size() == 0) {
             server.hot(this, false);
             server.loop.timers.cancel(expiry);
         }
@@ -199,15 +199,15 @@
 
     /** Whether a waiting job might be placed if the module had it. */
     boolean admits() {
-        return lines.size() > 0 && unplaced < cohorts.free();
+        return queues.size() > 0 && unplaced < groups.availableWorkers();
     }
 
     /** The next in line goes before the module. */
     void admit() {
-        GearmanJob job = lines.poll(server.loop.now());
+        GearmanJob job = queues.poll(server.loop.now());
         if (job != null) {
             handOver(job);
-            lines.trim(job.mode.ordinal());
+            queues.trim(job.mode.ordinal());
         }
         cool();
     }
@@ -215,7 +215,7 @@
     private void handOver(GearmanJob job) {
         job.stage = GearmanJob.Stage.MODULE;
         unplaced++;
-        long left = Math.max(1, job.since + of(job.mode).deadlineNs() - server.loop.now());
+        long left = Math.max(1, job.enqueuedAtNs + of(job.mode).deadlineNs() - server.loop.now());
         // Its client's try is the first that the module sees: less time in hand than usual is the line's
         // doing.
         job.request = engine.submit(job.handle(), new Job(0, job.mode.ordinal(), left, 0, 1, 0, true), job, job);
@@ -229,12 +229,12 @@
         long next = Long.MAX_VALUE;
         int room = EXPIRED_AT_ONCE;
         for (Mode mode : Mode.values()) {
-            GearmanJob job = lines.oldest(mode.ordinal());
+            GearmanJob job = queues.oldest(mode.ordinal());
             while (job != null && due(job) <= now && room-- > 0) {
                 job.stage = GearmanJob.Stage.MODULE;
-                lines.left(mode.ordinal());
+                queues.jobRemoved(mode.ordinal());
                 handOver(job);
-                job = lines.oldest(mode.ordinal());
+                job = queues.oldest(mode.ordinal());
             }
             if (job != null) {
                 next = Math.min(next, due(job));
@@ -255,16 +255,16 @@
     }
 
     @Override
-    public int urgent() {
-        return lines.urgent();
+    public int mostUrgentLevel() {
+        return queues.mostUrgentLevel();
     }
 
     @Override
-    public long oldestSince() {
+    public long oldestEnqueuedAtNs() {
         long oldest = Long.MAX_VALUE;
         for (Mode mode : Mode.values()) {
-            GearmanJob head = lines.oldest(mode.ordinal());
-            oldest = head == null ? oldest : Math.min(oldest, head.since);
+            GearmanJob head = queues.oldest(mode.ordinal());
+            oldest = head == null ? oldest : Math.min(oldest, head.enqueuedAtNs);
         }
         return oldest;
     }
@@ -275,105 +275,107 @@
     }
 
     @Override
-    public void hadTurn(long count) {
+    public void recordTurn(long count) {
         lastTurn = count;
     }
 
     // ---- Workers
 
     /** A worker can do it from now on, and is known as such; it may be given a job before this returns. */
-    void joined(Member<WorkerSession> m, WorkerSession w) {
+    void joined(Member<WorkerSession> member, WorkerSession w) {
         if (awake) {
-            cohorts.load(m, w.held(), w.slots());
-            tell(m.cohort());
-            cohorts.free(m, w.free());
-            show(m.cohort());
+            groups.updateLoad(member, w.held(), w.slots());
+            tell(member.group());
+            groups.setAvailable(member, w.free());
+            show(member.group());
             feed();
         }
     }
 
-    void leave(Member<WorkerSession> m) {
-        Cohort<WorkerSession> c = m.cohort();
-        cohorts.leave(m);
-        settle(c);
+    void leave(Member<WorkerSession> member) {
+        Group<WorkerSession> group = member.group();
+        groups.leave(member);
+        settle(group);
     }
 
-    void moved(Member<WorkerSession> m, WorkerSession w) {
-        Cohort<WorkerSession> c = m.cohort();
-        cohorts.moved(m, w.place());
-        settle(c);
-        settle(m.cohort());
+    void moved(Member<WorkerSession> member, WorkerSession w) {
+        Group<WorkerSession> group = member.group();
+        groups.updateLocation(member, w.location());
+        settle(group);
+        settle(member.group());
     }
 
     /** Whether the worker may be given a job now. */
-    void free(Member<WorkerSession> m, boolean on) {
+    void free(Member<WorkerSession> member, boolean on) {
         if (awake) {
-            cohorts.free(m, on);
-            show(m.cohort());
+            groups.setAvailable(member, on);
+            show(member.group());
         }
     }
 
     /** What the worker holds, and how much it has shown that it can hold. */
-    void load(Member<WorkerSession> m, int busy, int slots) {
+    void load(Member<WorkerSession> member, int busy, int slots) {
         if (awake) {
-            cohorts.load(m, busy, slots);
+            groups.updateLoad(member, busy, slots);
         }
     }
 
-    /** A cohort may have gained, lost or emptied. */
-    private void settle(Cohort<WorkerSession> c) {
-        for (Cohort<WorkerSession> gone : cohorts.takeEmptied()) {
-            if (gone.shown) {
+    /** A group may have gained, lost or emptied. */
+    private void settle(Group<WorkerSession> group) {
+        for (Group<WorkerSession> gone : groups.drainEmptied()) {
+            if (gone.announced) {
                 engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row(gone, EndpointState.REMOVED)));
             }
             release(gone);
         }
-        if (awake && c.members() > 0) {
-            show(c);
+        if (awake && group.members() > 0) {
+            show(group);
         }
     }
 
-    /** What waits for a cohort that is gone never ran. */
-    private void release(Cohort<WorkerSession> gone) {
+    /** What waits for a group that is gone never ran. */
+    private void release(Group<WorkerSession> gone) {
         ArrayDeque<Attempt> waiting = parked.remove(gone.id);
         if (waiting != null) {
             waiting.forEach(this::withhold);
         }
     }
 
-    /** Tells the module of a cohort when what it was told is not so any more. */
-    private void show(Cohort<WorkerSession> c) {
-        if (!c.shown) {
-            tell(c);
+    /** Tells the module of a group when what it was told is not so any more. */
+    private void show(Group<WorkerSession> group) {
+        if (!group.announced) {
+            tell(group);
         }
-        if (c.ready() != c.shownReady) {
-            c.shownReady = c.ready();
+        if (group.isReady() != group.announcedReady) {
+            group.announcedReady = group.isReady();
             engine.updateEndpoints(
-                    EndpointUpdate.DELTA, List.of(row(c, c.ready() ? EndpointState.READY : EndpointState.DRAINING)));
+                    EndpointUpdate.DELTA,
+                    List.of(row(group, group.isReady() ? EndpointState.READY : EndpointState.DRAINING)));
         }
     }
 
     /** Its slots have changed: a report, as if it had been asked. */
-    private void tell(Cohort<WorkerSession> c) {
-        if (!c.shown) {
-            c.shown = true;
-            c.shownReady = false;
-            engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row(c, EndpointState.DRAINING)));
+    private void tell(Group<WorkerSession> group) {
+        if (!group.announced) {
+            group.announced = true;
+            group.announcedReady = false;
+            engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row(group, EndpointState.DRAINING)));
         }
-        engine.healthCheckCompleted(c.id, true, load(c));
+        engine.healthCheckCompleted(group.id, true, load(group));
     }
 
-    private WorkerEndpoint row(Cohort<WorkerSession> c, EndpointState state) {
-        return new WorkerEndpoint(c.id, c.place.cell(), c.place.zone(), name, 0, state);
+    private WorkerEndpoint row(Group<WorkerSession> group, EndpointState state) {
+        return new WorkerEndpoint(group.id, group.location.cell(), group.location.zone(), name, 0, state);
     }
 
     /**
      * One slot more than there are: a less worthy class leaves a share of each target's slots to a worthier
-     * one, and a worker of one slot could never keep it. It is never used, since a cohort with no free worker
+     * one, and a worker of one slot could never keep it. It is never used, since a group with no free worker
      * is out of service.
      */
-    private static LoadReport load(Cohort<WorkerSession> c) {
-        return new LoadReport(c.busy(), 0, Math.max(0, c.slots() - c.busy()) + 1, Double.NaN, 0);
+    private static LoadReport load(Group<WorkerSession> group) {
+        return new LoadReport(
+                group.jobsInFlight(), 0, Math.max(0, group.slots() - group.jobsInFlight()) + 1, Double.NaN, 0);
     }
 
     /** It is asked for: the module hears all that it missed. O(workers). */
@@ -392,13 +394,13 @@
                     this,
                     counters);
         }
-        for (Member<WorkerSession> m : cohorts.everyone()) {
-            cohorts.load(m, m.worker.held(), m.worker.slots());
-            cohorts.free(m, m.worker.free());
+        for (Member<WorkerSession> member : groups.members()) {
+            groups.updateLoad(member, member.worker.held(), member.worker.slots());
+            groups.setAvailable(member, member.worker.free());
         }
-        for (Cohort<WorkerSession> c : List.copyOf(cohorts.all())) {
-            tell(c);
-            show(c);
+        for (Group<WorkerSession> group : List.copyOf(groups.groups())) {
+            tell(group);
+            show(group);
         }
     }
 
@@ -406,16 +408,16 @@
     void rest(long idleNs) {
         if (awake && alive == 0 && open() == 0 && server.loop.now() - awakeAt > idleNs) {
             awake = false;
-            cohorts.everyone().forEach(m -> cohorts.free(m, false));
-            for (Cohort<WorkerSession> c : cohorts.all()) {
-                show(c);
+            groups.members().forEach(member -> groups.setAvailable(member, false));
+            for (Group<WorkerSession> group : groups.groups()) {
+                show(group);
             }
         }
     }
 
     /** Whether it stands empty with no worker. */
     boolean unused() {
-        return alive == 0 && open() == 0 && cohorts.members() == 0;
+        return alive == 0 && open() == 0 && groups.memberCount() == 0;
     }
 
     void close() {
@@ -436,23 +438,23 @@
             job.placed = true;
             unplaced--;
         }
-        Cohort<WorkerSession> c = cohorts.find(attempt.target);
-        if (c == null) {
+        Group<WorkerSession> group = groups.find(attempt.target);
+        if (group == null) {
             engine.attemptEnded(attempt, Outcome.NOT_SENT, null, null);
             return;
         }
-        WorkerSession w = cohorts.pick(c);
+        WorkerSession w = groups.leastRecentlyUsed(group);
         if (w != null) {
             w.park(attempt);
         } else { // several were placed at once: the one that the next free worker there takes is as good
-            parked.computeIfAbsent(c.id, id -> new ArrayDeque<>()).add(attempt);
+            parked.computeIfAbsent(group.id, id -> new ArrayDeque<>()).add(attempt);
             handBack();
         }
     }
 
-    /** A worker of the cohort is free; the attempt that waits for one, or null. */
-    Attempt unpark(Member<WorkerSession> m) {
-        ArrayDeque<Attempt> waiting = parked.isEmpty() ? null : parked.get(m.cohort().id);
+    /** A worker of the group is free; the attempt that waits for one, or null. */
+    Attempt unpark(Member<WorkerSession> member) {
+        ArrayDeque<Attempt> waiting = parked.isEmpty() ? null : parked.get(member.group().id);
         if (waiting == null) {
             return null;
         }
@@ -461,20 +463,20 @@
             attempt = waiting.poll();
         }
         if (waiting.isEmpty()) {
-            parked.remove(m.cohort().id);
+            parked.remove(member.group().id);
         }
         return attempt;
     }
 
-    /** What waits for a busy cohort while another has a free worker goes back to the module. */
+    /** What waits for a busy group while another has a free worker goes back to the module. */
     void handBack() {
-        if (parked.isEmpty() || cohorts.free() == 0) {
+        if (parked.isEmpty() || groups.availableWorkers() == 0) {
             return;
         }
-        int room = cohorts.free();
+        int room = groups.availableWorkers();
         for (Map.Entry<Long, ArrayDeque<Attempt>> each : List.copyOf(parked.entrySet())) {
-            Cohort<WorkerSession> c = cohorts.find(each.getKey());
-            if (c != null && c.ready()) {
+            Group<WorkerSession> group = groups.find(each.getKey());
+            if (group != null && group.isReady()) {
                 continue; // its own takes it
             }
             ArrayDeque<Attempt> queue = each.getValue();
@@ -500,31 +502,31 @@
     }
 
     /** An attempt at this worker has ended. */
-    void ended(Attempt attempt, Outcome outcome, byte[] result, Member<WorkerSession> m) {
+    void ended(Attempt attempt, Outcome outcome, byte[] result, Member<WorkerSession> member) {
         LoadReport load = null;
-        if (m != null && (outcome == Outcome.SERVED || outcome == Outcome.ERROR)) {
+        if (member != null && (outcome == Outcome.SERVED || outcome == Outcome.ERROR)) {
             long now = server.loop.now();
-            Cohort<WorkerSession> c = m.cohort();
-            if (now - c.reportedAt > REPORT_GAP_NS) {
-                c.reportedAt = now;
-                load = load(c);
+            Group<WorkerSession> group = member.group();
+            if (now - group.reportedAtNs > REPORT_GAP_NS) {
+                group.reportedAtNs = now;
+                load = load(group);
             }
         }
         engine.attemptEnded(attempt, outcome, result, load);
     }
 
     /** The worker has run a job well, badly, or not at all: it may belong elsewhere. */
-    void learned(Member<WorkerSession> m, Outcome outcome, long runNs) {
-        Cohort<WorkerSession> before = m.cohort();
+    void learned(Member<WorkerSession> member, Outcome outcome, long runNs) {
+        Group<WorkerSession> before = member.group();
         switch (outcome) {
-            case SERVED -> cohorts.ran(m, runNs);
-            case ERROR -> cohorts.failed(m);
-            default -> cohorts.troubled(m);
+            case SERVED -> groups.recordSuccess(member, runNs);
+            case ERROR -> groups.recordFailure(member);
+            default -> groups.suspect(member);
         }
-        if (m.cohort() != before && awake) {
+        if (member.group() != before && awake) {
             settle(before);
-            tell(m.cohort());
-            show(m.cohort());
+            tell(member.group());
+            show(member.group());
         }
     }
 
@@ -542,7 +544,7 @@
 
     @Override
     public void healthCheck(long target) {
-        Cohort<WorkerSession> c = cohorts.find(target);
-        engine.healthCheckCompleted(target, c != null, c == null ? null : load(c));
+        Group<WorkerSession> group = groups.find(target);
+        engine.healthCheckCompleted(target, group != null, group == null ? null : load(group));
     }
 }
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -5,7 +5,8 @@
 import beechseam.core.Ingress;
 import beechseam.core.Request;
 import beechseam.gearman.protocol.Packet;
-import beechseam.gearman.queue.Waiting;
+import beechseam.gearman.queue.QueuedJob;
+import beechseam.gearman.queue.Schedule;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +17,7 @@
  * thousands may wait, so it holds no more than it must: the handle is made of its number, and lists only
  * exist once there are two.
  */
-final class GearmanJob implements Ingress, Waiting {
+final class GearmanJob implements Ingress, QueuedJob {
     /** Where it is; it moves down this list only, and each but ENDED holds room for its workload. */
     enum Stage {
         CLOCK,
@@ -49,8 +50,8 @@
     ByteBuffer result;
 
     Stage stage = Stage.LINE;
-    /** When it came into line. */
-    long since;
+    /** When it was enqueued, in nanoseconds of the host's clock. */
+    long enqueuedAtNs;
     /** A background submission is owed the run even when no client waits. */
     boolean background;
     /** It has been sent to a target at least once. */
@@ -58,7 +59,7 @@
     /** Workers that hold it now: two while a copy runs. */
     int runs;
 
-    Object dueMark;
+    Schedule.Ticket ticket;
     Request request;
     /** The attempt whose data the clients are shown: of two copies only one speaks. */
     private Attempt speaker;
@@ -94,13 +95,13 @@
     }
 
     @Override
-    public boolean waiting() {
+    public boolean isQueued() {
         return stage == Stage.LINE;
     }
 
     @Override
-    public long since() {
-        return since;
+    public long enqueuedAtNs() {
+        return enqueuedAtNs;
     }
 
     private boolean over;
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -5,8 +5,8 @@
 import beechseam.core.Timer;
 import beechseam.gearman.queue.Admission;
 import beechseam.gearman.queue.ByteBudget;
-import beechseam.gearman.queue.Cohorts.Place;
-import beechseam.gearman.queue.FunctionTurns;
+import beechseam.gearman.queue.FunctionArbiter;
+import beechseam.gearman.queue.WorkerGroups.Location;
 import beechseam.net.EventLoop;
 import beechseam.net.Listener;
 import java.io.IOException;
@@ -53,7 +53,7 @@
     /** Functions with waiting jobs. */
     private final Set<GearmanFunction> hot = new LinkedHashSet<>();
 
-    private final FunctionTurns<GearmanFunction> turns;
+    private final FunctionArbiter<GearmanFunction> arbiter;
     private final Set<String> drained = new HashSet<>();
     private final Timer sweep = new Timer() {
         @Override
@@ -75,7 +75,8 @@
         jobs = new Jobs(config.name(), budget);
         admission = new Admission(
                 new Admission.Limits(config.bounds().jobs(), config.bounds().jobsPerClient()));
-        turns = new FunctionTurns<>(config.turns().ageingTurn(), config.turns().ageingNs());
+        arbiter = new FunctionArbiter<>(
+                config.turns().ageingTurn(), config.turns().ageingNs());
         config.functions().keySet().stream()
                 .filter(name -> !name.equals(GearmanConfig.ANY))
                 .forEach(name -> make(name).pinned = true);
@@ -110,7 +111,7 @@
                     .append(jobs.ended(end));
         }
         return s.append(",\"workload_bytes\":")
-                .append(budget.jobs())
+                .append(budget.workloadBytes())
                 .append(",\"connections\":")
                 .append(connections.size())
                 .append(",\"functions\":")
@@ -282,9 +283,9 @@
         return new WorkerSession(this, ++lastWorker, connection);
     }
 
-    Place place(String clientId) {
+    Location location(String clientId) {
         GearmanConfig.Place place = config.place(clientId);
-        return new Place(place.zone(), place.cell());
+        return new Location(place.zone(), place.cell());
     }
 
     boolean drained(String clientId) {
@@ -311,7 +312,7 @@
     /** A worker may have become free: jobs of functions that it can do go before their modules, in turns. */
     void feed(WorkerSession w) {
         while (w.free() && !hot.isEmpty()) {
-            turns.begin(loop.now());
+            arbiter.beginSelection(loop.now());
             if (w.functionCount() < hot.size()) {
                 for (String name : w.functions()) {
                     offer(functions.get(name));
@@ -323,7 +324,7 @@
                     }
                 }
             }
-            GearmanFunction f = turns.chosen();
+            GearmanFunction f = arbiter.select();
             if (f == null) {
                 return;
             }
@@ -333,7 +334,7 @@
 
     private void offer(GearmanFunction f) {
         if (f.awake() && f.admits()) {
-            turns.offer(f);
+            arbiter.offer(f);
         }
     }
 
--- a/src/main/java/beechseam/gearman/Jobs.java
+++ b/src/main/java/beechseam/gearman/Jobs.java
@@ -105,7 +105,7 @@
         if (job.key != null) {
             unlink(job);
         }
-        budget.releaseJob(job.charge);
+        budget.releaseWorkload(job.charge);
     }
 
     private void unlink(GearmanJob job) {
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -5,8 +5,8 @@
 import beechseam.dispatch.Outcome;
 import beechseam.gearman.protocol.Arguments;
 import beechseam.gearman.protocol.Packet;
-import beechseam.gearman.queue.Cohorts.Member;
-import beechseam.gearman.queue.Cohorts.Place;
+import beechseam.gearman.queue.WorkerGroups.Location;
+import beechseam.gearman.queue.WorkerGroups.Member;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -56,7 +56,7 @@
     private final Map<String, Ability> abilities = new LinkedHashMap<>();
     private final Map<String, Run> held = new LinkedHashMap<>();
     private State state = State.AWAY;
-    private Place place;
+    private Location location;
     private Attempt parked;
     private Timer call;
     private boolean drained;
@@ -67,12 +67,12 @@
         this.server = server;
         this.number = number;
         this.connection = connection;
-        place = server.place(connection.clientId());
+        location = server.location(connection.clientId());
         drained = server.drained(connection.clientId());
     }
 
-    Place place() {
-        return place;
+    Location location() {
+        return location;
     }
 
     int held() {
@@ -122,9 +122,9 @@
         if (f == null) {
             return; // it has been told why
         }
-        Member<WorkerSession> m = f.cohorts.join(this, place);
-        abilities.put(name, new Ability(f, m, seconds));
-        f.joined(m, this);
+        Member<WorkerSession> member = f.groups.join(this, location);
+        abilities.put(name, new Ability(f, member, seconds));
+        f.joined(member, this);
     }
 
     /** Withdrawn: what waits for it goes elsewhere, and nothing new comes. */
@@ -144,7 +144,7 @@
     }
 
     void renamed() {
-        place = server.place(connection.clientId());
+        location = server.location(connection.clientId());
         abilities.values().forEach(a -> a.function().moved(a.member(), this));
         drain(server.drained(connection.clientId()));
     }
@@ -305,9 +305,9 @@
         if (outcome == Outcome.NOT_SENT) {
             f.withhold(attempt);
         } else {
-            Member<WorkerSession> m = member(f);
-            if (m != null) {
-                f.learned(m, outcome, 0);
+            Member<WorkerSession> member = member(f);
+            if (member != null) {
+                f.learned(member, outcome, 0);
             }
             f.ended(attempt, outcome, null, null);
         }
@@ -412,11 +412,11 @@
     /** The worker has ended what it held; it is free once it asks again. */
     private void end(Run run, Outcome outcome) {
         forget(run);
-        Member<WorkerSession> m = member(run.function);
-        if (m != null && !run.attempt.hasEnded()) {
-            run.function.learned(m, outcome, server.loop.now() - run.startedAt);
+        Member<WorkerSession> member = member(run.function);
+        if (member != null && !run.attempt.hasEnded()) {
+            run.function.learned(member, outcome, server.loop.now() - run.startedAt);
         }
-        run.function.ended(run.attempt, outcome, null, m);
+        run.function.ended(run.attempt, outcome, null, member);
     }
 
     private void forget(Run run) {
--- a/src/main/java/beechseam/gearman/queue/ByteBudget.java
+++ b/src/main/java/beechseam/gearman/queue/ByteBudget.java
@@ -7,57 +7,61 @@
  * out for good.
  */
 public final class ByteBudget {
-    private final long mostJobs;
-    private final long mostResults;
-    private long jobs;
-    private long results;
+    private final long maxWorkloadBytes;
+    private final long maxResultBytes;
+    private long workloadBytes;
+    private long resultBytes;
 
-    /** @param most bytes in all */
-    public ByteBudget(long most) {
-        mostResults = most / 4;
-        mostJobs = most - mostResults;
+    /** @param maxBytes bytes in all */
+    public ByteBudget(long maxBytes) {
+        maxResultBytes = maxBytes / 4;
+        maxWorkloadBytes = maxBytes - maxResultBytes;
     }
 
-    /** Room for a workload, held until {@link #releaseJob}; false when there is none. */
-    public boolean takeJob(long bytes) {
-        if (jobs > 0 && jobs + bytes > mostJobs) {
+    /** Room for a workload, held until {@link #releaseWorkload}; false when there is none. */
+    public boolean reserveWorkload(long bytes) {
+        if (workloadBytes > 0 && workloadBytes + bytes > maxWorkloadBytes) {
             return false;
         }
-        jobs += bytes;
+        workloadBytes += bytes;
         return true;
     }
 
-    public void releaseJob(long bytes) {
-        jobs -= bytes;
+    /** Gives back the bytes of a workload that has ended. */
+    public void releaseWorkload(long bytes) {
+        workloadBytes -= bytes;
     }
 
     /**
      * Room for something on its way to clients, held until {@link #releaseResult}.
      *
-     * @param unread bytes that clients have been sent and have not read yet: they count, too
+     * @param unreadBytes bytes that clients have been sent and have not read yet: they count, too
      */
-    public boolean takeResult(long bytes, long unread) {
-        if (results + unread > 0 && results + unread + bytes > mostResults) {
+    public boolean reserveResult(long bytes, long unreadBytes) {
+        if (resultBytes + unreadBytes > 0 && resultBytes + unreadBytes + bytes > maxResultBytes) {
             return false;
         }
-        results += bytes;
+        resultBytes += bytes;
         return true;
     }
 
+    /** Gives back the bytes of something that clients have been sent. */
     public void releaseResult(long bytes) {
-        results -= bytes;
+        resultBytes -= bytes;
     }
 
-    /** Bytes that workloads hold. */
-    public long jobs() {
-        return jobs;
+    /** Bytes that workloads hold now. */
+    public long workloadBytes() {
+        return workloadBytes;
     }
 
-    public long results() {
-        return results;
+    /** Bytes reserved on their way to clients. */
+    public long resultBytes() {
+        return resultBytes;
     }
 
-    public long mostJobs() {
-        return mostJobs;
+    /** The most bytes that workloads may hold together. */
+    public long maxWorkloadBytes() {
+        return maxWorkloadBytes;
     }
 }
--- a/src/main/java/beechseam/gearman/queue/Schedule.java
+++ b/src/main/java/beechseam/gearman/queue/Schedule.java
@@ -10,45 +10,47 @@
  * Adding, taking and leaving are O(log n).
  */
 public final class Schedule<J> {
-    private record Due(long at, long order) implements Comparable<Due> {
+    /** A place in the schedule; {@code dueAtNs} by the host's clock, {@code order} of arrival. */
+    public record Ticket(long dueAtNs, long order) implements Comparable<Ticket> {
         @Override
-        public int compareTo(Due other) {
-            int byTime = Long.compare(at, other.at);
+        public int compareTo(Ticket other) {
+            int byTime = Long.compare(dueAtNs, other.dueAtNs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
     private static final int YEARS_AHEAD = 9; // a 29 February on a given weekday may be decades off: refused
 
-    private final TreeMap<Due, J> waiting = new TreeMap<>();
+    private final TreeMap<Ticket, J> waiting = new TreeMap<>();
     private long order;
 
-    /** Gives a mark with which the job can leave again. */
-    public Object add(long at, J job) {
-        Due due = new Due(at, ++order);
-        waiting.put(due, job);
-        return due;
+    /** Adds a job that is due at that time of the host's clock, in nanoseconds; the ticket removes it. */
+    public Ticket add(long dueAtNs, J job) {
+        Ticket ticket = new Ticket(dueAtNs, ++order);
+        waiting.put(ticket, job);
+        return ticket;
     }
 
-    /** Whether it was still there. */
-    public boolean remove(Object mark) {
-        return waiting.remove(mark) != null;
+    /** Removes a job; false where it was not there any more. */
+    public boolean remove(Ticket ticket) {
+        return waiting.remove(ticket) != null;
     }
 
-    /** The next that is due, taken out, or null. */
-    public J due(long now) {
-        Map.Entry<Due, J> first = waiting.firstEntry();
-        if (first == null || first.getKey().at() > now) {
+    /** Removes and returns the next that is due, or null. */
+    public J pollDue(long nowNs) {
+        Map.Entry<Ticket, J> first = waiting.firstEntry();
+        if (first == null || first.getKey().dueAtNs() > nowNs) {
             return null;
         }
         return waiting.pollFirstEntry().getValue();
     }
 
-    /** When the next is due; {@code Long.MAX_VALUE} for never. */
-    public long next() {
-        return waiting.isEmpty() ? Long.MAX_VALUE : waiting.firstKey().at();
+    /** When the next is due, in nanoseconds; {@code Long.MAX_VALUE} for never. */
+    public long nextDueNs() {
+        return waiting.isEmpty() ? Long.MAX_VALUE : waiting.firstKey().dueAtNs();
     }
 
+    /** Number of jobs that are not due yet. */
     public int size() {
         return waiting.size();
     }
@@ -62,7 +64,7 @@
      * @throws IllegalArgumentException names the faulty field, or says that no such minute comes within 9
      *     years
      */
-    public static ZonedDateTime next(ZonedDateTime from, String... fields) {
+    public static ZonedDateTime nextMatch(ZonedDateTime from, String... fields) {
         int minute = field("minute", fields[0], 0, 59);
         int hour = field("hour", fields[1], 0, 23);
         int day = field("day of month", fields[2], 1, 31);
@@ -87,19 +89,19 @@
         throw new IllegalArgumentException("no such time comes within " + YEARS_AHEAD + " years");
     }
 
-    private static int field(String name, String text, int least, int most) {
+    private static int field(String name, String text, int min, int max) {
         if (text.isEmpty() || text.equals("*")) {
             return -1;
         }
         try {
             int value = Integer.parseInt(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below, with its bounds
+            // reported below, with its bounds
         }
-        throw new IllegalArgumentException(name + " must be from " + least + " to " + most + ", not '"
+        throw new IllegalArgumentException(name + " must be from " + min + " to " + max + ", not '"
                 + (text.length() > 20 ? text.substring(0, 20) + "..." : text) + "'");
     }
 }
--- a/src/test/java/beechseam/gearman/GearmanFaultsTest.java
+++ b/src/test/java/beechseam/gearman/GearmanFaultsTest.java
@@ -235,7 +235,7 @@
             workers.add(w);
         }
         workers.forEach(rig::drop);
-        rig.net.until("the loss", () -> rig.server.functions().stream().allMatch(f -> f.cohorts.members() == 0));
+        rig.net.until("the loss", () -> rig.server.functions().stream().allMatch(f -> f.groups.memberCount() == 0));
         assertTrue(rig.server.jobs.size() >= 4960, "what was not held still waits");
         StandIn last =
                 rig.peer().say(Packet.CAN_DO, "safe").say(Packet.CAN_DO, "once").say(Packet.GRAB_JOB);
@@ -379,7 +379,7 @@
         assertNull(ends.get(runs));
         rig.net.until("the end", () -> done[0]);
         assertEquals(0, rig.server.jobs.size());
-        assertEquals(0, rig.server.budget.jobs(), "all room is given back");
+        assertEquals(0, rig.server.budget.workloadBytes(), "all room is given back");
     }
 
     /** The C library's workers: an exception, no end, and the next request. */
@@ -425,9 +425,9 @@
         String first = worker.say(Packet.GRAB_JOB).next("JOB_ASSIGN").split(" ")[0];
         worker.say(Packet.GRAB_JOB).expect("JOB_ASSIGN").say(Packet.GRAB_JOB).expect("JOB_ASSIGN");
         worker.say(Packet.GRAB_JOB).expect("NO_JOB").say(Packet.PRE_SLEEP).nothing();
-        var cohort = rig.server.find("f").cohorts.all().iterator().next();
-        assertEquals(3, cohort.slots(), "as the module is told");
-        assertEquals(3, cohort.busy());
+        var group = rig.server.find("f").groups.groups().iterator().next();
+        assertEquals(3, group.slots(), "as the module is told");
+        assertEquals(3, group.jobsInFlight());
         worker.say(Packet.WORK_COMPLETE, first, "").say(Packet.GRAB_JOB).expect("JOB_ASSIGN");
     }
 
@@ -461,7 +461,7 @@
         String handle = client.next("JOB_CREATED");
         rig.drop(client);
         rig.net.until("it to go", () -> rig.server.jobs.size() == 0);
-        assertEquals(0, rig.server.budget.jobs());
+        assertEquals(0, rig.server.budget.workloadBytes());
         Sink both = new Sink(rig);
         both.write(Packet.CAN_DO.request("f"), Packet.SUBMIT_JOB.request("f", "", large), Packet.GRAB_JOB.request());
         rig.net.until("the job", () -> both.last != null && both.last.count() == 3);
@@ -471,8 +471,8 @@
         rig.net.until("the result", () -> both.last != null);
         assertArrayEquals(large, both.last.bytes(1));
         both.close();
-        assertEquals(0, rig.server.budget.jobs());
-        assertEquals(0, rig.server.budget.results());
+        assertEquals(0, rig.server.budget.workloadBytes());
+        assertEquals(0, rig.server.budget.resultBytes());
     }
 
     /** A stream of data to a client that reads nothing stops the worker that writes it, not the server. */
@@ -513,7 +513,7 @@
         StandIn maker = rig.peer().say(Packet.CAN_DO, "made").sync();
         assertTrue(rig.admin("drop function made").startsWith("ERR"), "it has a worker");
         rig.drop(maker);
-        rig.net.until("it to have none", () -> rig.server.find("made").cohorts.members() == 0);
+        rig.net.until("it to have none", () -> rig.server.find("made").groups.memberCount() == 0);
         rig.net.settle(1100); // the server looks every second for what stands empty
         assertNotNull(rig.server.find("made"), "a drop that was refused has changed nothing");
         assertEquals("OK\n", rig.admin("drop function made"));
@@ -538,7 +538,7 @@
         rig.drop(first);
         StandIn second = rig.peer().can("f").sync();
         StandIn third = rig.peer().can("f").sync();
-        assertEquals(0, f.cohorts.free(), "not kept while it rests");
+        assertEquals(0, f.groups.availableWorkers(), "not kept while it rests");
         for (StandIn w : List.of(second, third)) {
             handle = client.say(Packet.SUBMIT_JOB, "f", "", "x").next("JOB_CREATED");
             assertEquals(handle, w.grab());
@@ -547,8 +547,8 @@
         }
         rig.drop(second);
         rig.drop(third);
-        rig.net.until("it to be known that they went", () -> f.cohorts.members() == 0);
-        assertTrue(f.cohorts.all().isEmpty());
+        rig.net.until("it to be known that they went", () -> f.groups.memberCount() == 0);
+        assertTrue(f.groups.groups().isEmpty());
     }
 
     /** Two functions and one worker: what both wait for goes by priority, and neither is starved. */
--- a/src/test/java/beechseam/gearman/queue/FairQueueTest.java
+++ b/src/test/java/beechseam/gearman/queue/FairQueueTest.java
@@ -15,43 +15,43 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Waiting jobs: turns, priorities, ageing, the clock and the bounds, against plain models. */
+/** QueuedJob jobs: turns, priorities, ageing, the clock and the bounds, against plain models. */
 class FairQueueTest {
-    private static final class Job implements Waiting {
+    private static final class Job implements QueuedJob {
         final int client;
         final int level;
-        final long since;
-        boolean waiting = true;
+        final long enqueuedAtNs;
+        boolean queued = true;
 
-        Job(int client, int level, long since) {
+        Job(int client, int level, long enqueuedAtNs) {
             this.client = client;
             this.level = level;
-            this.since = since;
+            this.enqueuedAtNs = enqueuedAtNs;
         }
 
         @Override
-        public boolean waiting() {
-            return waiting;
+        public boolean isQueued() {
+            return queued;
         }
 
         @Override
-        public long since() {
-            return since;
+        public long enqueuedAtNs() {
+            return enqueuedAtNs;
         }
     }
 
     /** The model: a ring of clients, each with its jobs; a client that has none loses its place. */
     @Property(seed = "31", tries = 200)
-    void clientsTakeTurnsWhateverComesAndLeaves(@ForAll long seed) {
+    void clientsAreServedRoundRobinAsJobsAreAddedAndRemoved(@ForAll long seed) {
         Random random = new Random(seed);
-        FairLine<Job> line = new FairLine<>();
+        FairQueue<Job> queue = new FairQueue<>();
         Map<Integer, ArrayDeque<Job>> model = new LinkedHashMap<>();
         List<Job> all = new ArrayList<>();
         for (int step = 0; step < 400; step++) {
             int pick = random.nextInt(10);
             if (pick < 5) {
                 Job job = new Job(random.nextInt(6), 0, step);
-                line.add(job.client, job);
+                queue.add(job.client, job);
                 model.computeIfAbsent(job.client, c -> new ArrayDeque<>()).add(job);
                 all.add(job);
             } else if (pick < 8) {
@@ -61,83 +61,84 @@
                     ArrayDeque<Job> jobs = model.remove(first);
                     do {
                         expected = jobs.poll();
-                    } while (expected != null && !expected.waiting);
+                    } while (expected != null && !expected.queued);
                     if (!jobs.isEmpty()) {
                         model.put(first, jobs);
                     }
                 }
-                Job got = line.poll();
+                Job got = queue.poll();
                 assertSame(expected, got);
                 if (got != null) {
-                    got.waiting = false;
-                    line.trim();
+                    got.queued = false;
+                    queue.trim();
                 }
             } else if (!all.isEmpty()) {
                 Job job = all.get(random.nextInt(all.size()));
-                if (job.waiting) {
-                    job.waiting = false;
-                    line.left();
+                if (job.queued) {
+                    job.queued = false;
+                    queue.jobRemoved();
                 }
             }
-            List<Job> left = all.stream().filter(j -> j.waiting).toList();
-            assertEquals(left.size(), line.size());
-            assertSame(left.isEmpty() ? null : left.get(0), line.oldest(), "in the order in which they came");
+            List<Job> remaining = all.stream().filter(j -> j.queued).toList();
+            assertEquals(remaining.size(), queue.size());
+            assertSame(
+                    remaining.isEmpty() ? null : remaining.get(0), queue.oldest(), "in the order in which they came");
         }
     }
 
     /** Those that left are swept: a million that come and leave again must not stay in memory. */
     @Test
-    void whatLeftIsLetGo() {
-        FairLine<Job> line = new FairLine<>();
+    void removedJobsAreSweptFromMemory() {
+        FairQueue<Job> queue = new FairQueue<>();
         Job stays = new Job(0, 0, 0);
-        line.add(0, stays);
+        queue.add(0, stays);
         for (int i = 0; i < 100_000; i++) {
             Job job = new Job(i % 7, 0, i);
-            line.add(job.client, job);
-            job.waiting = false;
-            line.left();
+            queue.add(job.client, job);
+            job.queued = false;
+            queue.jobRemoved();
         }
-        assertEquals(1, line.size());
-        assertTrue(line.held() < 3000, "held: " + line.held());
-        assertSame(stays, line.poll());
+        assertEquals(1, queue.size());
+        assertTrue(queue.retainedJobs() < 3000, "held: " + queue.retainedJobs());
+        assertSame(stays, queue.poll());
     }
 
     @Test
-    void theUrgentGoFirstAndTheOldAreNotStarved() {
-        JobLines<Job> lines = new JobLines<>(3, 3, 16, 1000);
-        lines.add(2, "low", new Job(0, 2, 0));
+    void mostUrgentLevelGoesFirstAndAgeingPreventsStarvation() {
+        PriorityQueues<Job> queues = new PriorityQueues<>(3, 3, 16, 1000);
+        queues.add(2, "low", new Job(0, 2, 0));
         int turns = 0;
         Job got;
         do { // a stream of urgent ones that never ends
-            lines.add(0, "high", new Job(1, 0, 5000));
-            got = lines.poll(5000);
-            got.waiting = false;
+            queues.add(0, "high", new Job(1, 0, 5000));
+            got = queues.poll(5000);
+            got.queued = false;
             turns++;
         } while (got.level == 0 && turns < 1000);
         assertEquals(16, turns, "every 16th turn is for the oldest");
-        lines.add(2, "low", new Job(0, 2, 4500));
+        queues.add(2, "low", new Job(0, 2, 4500));
         for (int i = 0; i < 100; i++) {
-            lines.add(0, "high", new Job(1, 0, 5000));
-            Job young = lines.poll(5000);
-            young.waiting = false;
+            queues.add(0, "high", new Job(1, 0, 5000));
+            Job young = queues.poll(5000);
+            young.queued = false;
             assertEquals(0, young.level, "one that is not old yet has no claim");
         }
     }
 
     /** Foreground and background jobs of one priority share its bound. */
     @Test
-    void eachPriorityHasItsBoundAndWhatWaitsStays() {
-        JobLines<Job> lines = new JobLines<>(4, 2, 0, 0);
-        lines.limit(0, 2);
-        lines.add(0, "c", new Job(0, 0, 0));
-        assertFalse(lines.full(0));
-        lines.add(2, "c", new Job(0, 2, 0));
-        assertTrue(lines.full(0));
-        assertTrue(lines.full(2));
-        assertFalse(lines.full(1));
-        lines.limit(0, 1);
-        assertEquals(2, lines.waiting(0));
-        assertEquals(0, lines.urgent());
+    void eachPriorityHasItsBoundAndQueuedJobsStay() {
+        PriorityQueues<Job> queues = new PriorityQueues<>(4, 2, 0, 0);
+        queues.setLimit(0, 2);
+        queues.add(0, "c", new Job(0, 0, 0));
+        assertFalse(queues.isFull(0));
+        queues.add(2, "c", new Job(0, 2, 0));
+        assertTrue(queues.isFull(0));
+        assertTrue(queues.isFull(2));
+        assertFalse(queues.isFull(1));
+        queues.setLimit(0, 1);
+        assertEquals(2, queues.queuedJobs(0));
+        assertEquals(0, queues.mostUrgentLevel());
     }
 
     /**
@@ -145,8 +146,8 @@
      * theirs.
      */
     @Test
-    void functionsTakeTurnsForAWorker() {
-        class Function implements FunctionTurns.Contender {
+    void functionsAreArbitratedForAWorker() {
+        class Function implements FunctionArbiter.Contender {
             int urgent;
             long oldest;
             long last;
@@ -157,12 +158,12 @@
             }
 
             @Override
-            public int urgent() {
+            public int mostUrgentLevel() {
                 return urgent;
             }
 
             @Override
-            public long oldestSince() {
+            public long oldestEnqueuedAtNs() {
                 return oldest;
             }
 
@@ -172,47 +173,47 @@
             }
 
             @Override
-            public void hadTurn(long count) {
+            public void recordTurn(long count) {
                 last = count;
             }
         }
         Function a = new Function(1, 900);
         Function b = new Function(1, 900);
         Function low = new Function(2, 0);
-        FunctionTurns<Function> turns = new FunctionTurns<>(8, 500);
+        FunctionArbiter<Function> arbiter = new FunctionArbiter<>(8, 500);
         Map<Function, Integer> had = new HashMap<>();
         for (int i = 0; i < 80; i++) {
-            turns.begin(1000);
+            arbiter.beginSelection(1000);
             for (Function f : List.of(a, b, low)) {
-                turns.offer(f);
+                arbiter.offer(f);
             }
-            had.merge(turns.chosen(), 1, Integer::sum);
+            had.merge(arbiter.select(), 1, Integer::sum);
         }
         assertEquals(10, had.get(low));
         assertEquals(35, had.get(a));
         assertEquals(35, had.get(b));
-        turns.begin(1000);
-        assertNull(turns.chosen());
+        arbiter.beginSelection(1000);
+        assertNull(arbiter.select());
     }
 
     @Test
-    void jobsForTheClockComeInTimeAndInOrder() {
+    void delayedJobsComeDueInOrder() {
         Schedule<String> clock = new Schedule<>();
         clock.add(20, "c");
-        Object b = clock.add(10, "b");
+        Schedule.Ticket b = clock.add(10, "b");
         clock.add(10, "a");
-        assertEquals(10, clock.next());
-        assertNull(clock.due(9));
+        assertEquals(10, clock.nextDueNs());
+        assertNull(clock.pollDue(9));
         assertTrue(clock.remove(b));
         assertFalse(clock.remove(b));
-        assertEquals("a", clock.due(10));
-        assertNull(clock.due(10));
-        assertEquals("c", clock.due(1000));
-        assertEquals(Long.MAX_VALUE, clock.next());
+        assertEquals("a", clock.pollDue(10));
+        assertNull(clock.pollDue(10));
+        assertEquals("c", clock.pollDue(1000));
+        assertEquals(Long.MAX_VALUE, clock.nextDueNs());
     }
 
     @Test
-    void aScheduleNamesTheNextSuchMinute() {
+    void scheduleFieldsGiveTheNextMatchingMinute() {
         ZonedDateTime from = ZonedDateTime.of(2026, 12, 1, 14, 30, 15, 0, ZoneOffset.UTC); // a Tuesday
         for (String[] each : new String[][] {
             {"2026-12-01T14:31Z", "", "", "", "", ""}, {"2026-12-01T14:31Z", "*", "*", "*", "*", "*"},
@@ -223,7 +224,7 @@
         }) {
             assertEquals(
                     ZonedDateTime.parse(each[0]).toInstant(),
-                    Schedule.next(from, each[1], each[2], each[3], each[4], each[5])
+                    Schedule.nextMatch(from, each[1], each[2], each[3], each[4], each[5])
                             .toInstant(),
                     String.join(" ", each));
         }
@@ -236,38 +237,38 @@
             {"x", "", "", "", ""},
             {"", "", "30", "2", ""}
         }) {
-            assertThrows(IllegalArgumentException.class, () -> Schedule.next(from, each));
+            assertThrows(IllegalArgumentException.class, () -> Schedule.nextMatch(from, each));
         }
     }
 
     @Test
-    void eachBoundNamesItself() {
+    void eachAdmissionLimitNamesItself() {
         ByteBudget budget = new ByteBudget(4000);
         Admission admission = new Admission(new Admission.Limits(10, 5));
-        JobLines<Job> lines = new JobLines<>(1, 1, 0, 0);
-        assertNull(admission.check(9, 4, lines, 0, 1000, budget));
-        assertEquals(1000, budget.jobs());
-        assertEquals("QUEUE_FULL", admission.check(10, 0, lines, 0, 1, budget).code());
-        assertEquals("CLIENT_LIMIT", admission.check(0, 5, lines, 0, 1, budget).code());
-        Admission.Refusal memory = admission.check(0, 0, lines, 0, 2001, budget);
+        PriorityQueues<Job> queues = new PriorityQueues<>(1, 1, 0, 0);
+        assertNull(admission.check(9, 4, queues, 0, 1000, budget));
+        assertEquals(1000, budget.workloadBytes());
+        assertEquals("QUEUE_FULL", admission.check(10, 0, queues, 0, 1, budget).code());
+        assertEquals("CLIENT_LIMIT", admission.check(0, 5, queues, 0, 1, budget).code());
+        Admission.Rejection memory = admission.check(0, 0, queues, 0, 2001, budget);
         assertEquals("MEMORY_LIMIT", memory.code());
-        assertTrue(memory.why().contains("max_memory_mb"), memory.why());
-        lines.limit(0, 0);
-        assertTrue(admission.check(0, 0, lines, 0, 1, budget).why().contains("maxqueue"));
-        assertEquals(1000, budget.jobs(), "who is turned away takes nothing");
+        assertTrue(memory.reason().contains("max_memory_mb"), memory.reason());
+        queues.setLimit(0, 0);
+        assertTrue(admission.check(0, 0, queues, 0, 1, budget).reason().contains("maxqueue"));
+        assertEquals(1000, budget.workloadBytes(), "who is turned away takes nothing");
     }
 
     @Test
-    void workloadsLeaveRoomForResults() {
+    void workloadsLeaveCapacityForResults() {
         ByteBudget budget = new ByteBudget(4000);
-        assertTrue(budget.takeJob(9000), "one that is too large for all is let through alone");
-        assertFalse(budget.takeJob(1));
-        assertTrue(budget.takeResult(1000, 0));
-        assertFalse(budget.takeResult(1, 0));
+        assertTrue(budget.reserveWorkload(9000), "one that is too large for all is let through alone");
+        assertFalse(budget.reserveWorkload(1));
+        assertTrue(budget.reserveResult(1000, 0));
+        assertFalse(budget.reserveResult(1, 0));
         budget.releaseResult(1000);
-        assertFalse(budget.takeResult(600, 500), "what clients have not read counts");
-        assertTrue(budget.takeResult(9000, 0));
-        budget.releaseJob(9000);
-        assertTrue(budget.takeJob(3000));
+        assertFalse(budget.reserveResult(600, 500), "what clients have not read counts");
+        assertTrue(budget.reserveResult(9000, 0));
+        budget.releaseWorkload(9000);
+        assertTrue(budget.reserveWorkload(3000));
     }
 }
