--- a/src/main/java/beechseam/gearman/protocol/Arguments.java
+++ b/src/main/java/beechseam/gearman/protocol/Arguments.java
@@ -2,6 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /**
  * The arguments of one packet as slices of where its body lies; none is copied until it is asked for as bytes
@@ -10,15 +11,15 @@
  */
 public final class Arguments {
     private final byte[] array;
-    private final int[] from;
-    private final int[] to;
+    private final int[] starts;
+    private final int[] ends;
     private final boolean owned;
 
     private Arguments(byte[] array, int count, boolean owned) {
         this.array = array;
         this.owned = owned;
-        from = new int[count];
-        to = new int[count];
+        starts = new int[count];
+        ends = new int[count];
     }
 
     /**
@@ -28,11 +29,11 @@
      * @return null when there are too few; extra NULs are part of the last
      */
     public static Arguments of(byte[] array, int offset, int length, int count, boolean owned) {
-        Arguments a = new Arguments(array, count, owned);
+        Arguments arguments = new Arguments(array, count, owned);
         int at = offset;
         int end = offset + length;
         for (int i = 0; i < count; i++) {
-            a.from[i] = at;
+            arguments.starts[i] = at;
             if (i == count - 1) {
                 at = end;
             } else {
@@ -43,38 +44,40 @@
                     return null;
                 }
             }
-            a.to[i] = at++;
+            arguments.ends[i] = at++;
         }
-        return a;
+        return arguments;
     }
 
+    /** How many arguments there are. */
     public int count() {
-        return from.length;
+        return starts.length;
     }
 
+    /** Bytes of argument i. */
     public int length(int i) {
-        return to[i] - from[i];
+        return ends[i] - starts[i];
     }
 
-    /** As text; bytes that are no UTF-8 become the replacement character. */
+    /** Argument i as text; bytes that are no UTF-8 become the replacement character. */
     public String text(int i) {
-        return new String(array, from[i], length(i), StandardCharsets.UTF_8);
+        return new String(array, starts[i], length(i), StandardCharsets.UTF_8);
     }
 
-    /** A copy. */
+    /** A copy of argument i. */
     public byte[] bytes(int i) {
-        return java.util.Arrays.copyOfRange(array, from[i], to[i]);
+        return Arrays.copyOfRange(array, starts[i], ends[i]);
     }
 
-    /** One that outlives the packet: its own array is kept, any other copied. */
+    /** Argument i as a buffer that outlives the packet: its own array is kept, any other copied. */
     public ByteBuffer kept(int i) {
-        return owned ? ByteBuffer.wrap(array, from[i], length(i)) : ByteBuffer.wrap(bytes(i));
+        return owned ? ByteBuffer.wrap(array, starts[i], length(i)) : ByteBuffer.wrap(bytes(i));
     }
 
     /** Whether argument i is all that the given text is, byte for byte. */
     public boolean is(int i, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return java.util.Arrays.equals(array, from[i], to[i], bytes, 0, bytes.length);
+        return Arrays.equals(array, starts[i], ends[i], bytes, 0, bytes.length);
     }
 
     /** Whether the body lies in an array of its own. */
--- a/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
+++ b/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
@@ -12,13 +12,23 @@
 public final class PacketDecoder {
     /** What the decoder waits for. */
     public enum State {
+        /** The header of the next packet. */
         HEADER,
+        /** The rest of a body that fits the read buffer; the header is still unread. */
         BODY,
+        /** The rest of a body that is read into an array of its own. */
         LONG_BODY,
+        /** The rest of a body that is dropped. */
         SKIPPING,
+        /** Nothing: a fault of the frame has ended it. */
         BROKEN
     }
 
+    /** Where in a header the packet's number and the bytes of its body stand. */
+    private static final int CODE_OFFSET = 4;
+
+    private static final int SIZE_OFFSET = 8;
+
     /** What to do with a packet that does not fit the read buffer. */
     public enum Verdict {
         /** Read it into an array of its own. */
@@ -49,26 +59,27 @@
 
     private final Owner owner;
     private final int magic;
-    private final int longest;
-    private final int inPlace;
+    private final int maxBodyBytes;
+    private final int maxInPlaceBytes;
     private State state = State.HEADER;
     private Packet kind;
     private byte[] body;
-    private int have;
-    private long skip;
+    private int bodyBytesRead;
+    private long bytesToSkip;
 
     /**
-     * @param magic   of the packets that are understood, {@link Packet#REQ} or {@link Packet#RES}
-     * @param longest bytes of a body at most
-     * @param inPlace bytes of a body up to which it is waited for in the read buffer
+     * @param magic           of the packets that are understood, {@link Packet#REQ} or {@link Packet#RES}
+     * @param maxBodyBytes    bytes of a body at most
+     * @param maxInPlaceBytes bytes of a body up to which it is waited for in the read buffer
      */
-    public PacketDecoder(Owner owner, int magic, int longest, int inPlace) {
+    public PacketDecoder(Owner owner, int magic, int maxBodyBytes, int maxInPlaceBytes) {
         this.owner = owner;
         this.magic = magic;
-        this.longest = longest;
-        this.inPlace = inPlace;
+        this.maxBodyBytes = maxBodyBytes;
+        this.maxInPlaceBytes = maxInPlaceBytes;
     }
 
+    /** What it waits for now. */
     public State state() {
         return state;
     }
@@ -83,7 +94,11 @@
         return state == State.LONG_BODY ? body.length : 0;
     }
 
-    /** Uses up what it can of a buffer with an array, as those of the read buffers are. */
+    /**
+     * Decodes all packets that a buffer holds and leaves the rest unread.
+     *
+     * @param in a buffer with an array, as the read buffers are
+     */
     public void decode(ByteBuffer in) {
         while (next(in)) {
             continue;
@@ -103,64 +118,77 @@
         };
     }
 
+    /** Reads a header, and its body where the buffer holds that whole. */
     private boolean header(ByteBuffer in) {
-        int at = in.position();
-        // Told as soon as it shows: a peer that speaks something else may never send twelve bytes.
-        for (int i = 0; i < 4 && i < in.remaining(); i++) {
-            if (in.get(at + i) != (byte) (magic >>> 24 - 8 * i)) {
-                return broken("BAD_MAGIC", "not a packet of this protocol, or one of the wrong direction");
-            }
+        int start = in.position();
+        if (!magicMatches(in, start)) {
+            return broken("BAD_MAGIC", "not a packet of this protocol, or one of the wrong direction");
         }
         if (in.remaining() < Packet.HEADER) {
             return false;
         }
-        int size = in.getInt(at + 8);
-        if (size < 0 || size > longest) {
+        int size = in.getInt(start + SIZE_OFFSET);
+        if (size < 0 || size > maxBodyBytes) {
             return broken(
                     "TOO_LARGE",
-                    "a packet of " + Integer.toUnsignedString(size) + " bytes, where " + longest + " are allowed");
+                    "a packet of " + Integer.toUnsignedString(size) + " bytes, where " + maxBodyBytes + " are allowed");
         }
-        int code = in.getInt(at + 4);
+        int code = in.getInt(start + CODE_OFFSET);
         kind = Packet.of(code);
-        if (size > inPlace) {
-            Verdict verdict = kind == null ? Verdict.SKIP : owner.longPacket(kind, size);
-            if (verdict == Verdict.WAIT) {
-                return false;
-            }
-            in.position(at + Packet.HEADER);
-            if (verdict == Verdict.TAKE) {
-                body = new byte[size];
-                have = 0;
-                state = State.LONG_BODY;
-            } else {
-                skip = size;
-                state = State.SKIPPING;
-                if (kind == null) {
-                    owner.unknown(code);
-                }
-            }
-            return true;
+        if (size > maxInPlaceBytes) {
+            return beginLongPacket(in, code, size);
         }
         if (in.remaining() < Packet.HEADER + size) {
             state = State.BODY;
             return false;
         }
         state = State.HEADER;
-        in.position(at + Packet.HEADER + size);
+        in.position(start + Packet.HEADER + size);
         if (kind == null) {
             owner.unknown(code);
         } else {
-            owner.packet(
-                    kind, Arguments.of(in.array(), in.arrayOffset() + at + Packet.HEADER, size, kind.arguments, false));
+            int bodyOffset = in.arrayOffset() + start + Packet.HEADER;
+            owner.packet(kind, Arguments.of(in.array(), bodyOffset, size, kind.arguments, false));
+        }
+        return true;
+    }
+
+    /** Checked byte by byte as they come: a peer of another protocol may never send a whole header. */
+    private boolean magicMatches(ByteBuffer in, int start) {
+        for (int i = 0; i < Integer.BYTES && i < in.remaining(); i++) {
+            if (in.get(start + i) != (byte) (magic >>> 24 - 8 * i)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** The header of a packet that does not fit the read buffer: its owner says what becomes of the body. */
+    private boolean beginLongPacket(ByteBuffer in, int code, int size) {
+        Verdict verdict = kind == null ? Verdict.SKIP : owner.longPacket(kind, size);
+        if (verdict == Verdict.WAIT) {
+            return false;
+        }
+        in.position(in.position() + Packet.HEADER);
+        if (verdict == Verdict.TAKE) {
+            body = new byte[size];
+            bodyBytesRead = 0;
+            state = State.LONG_BODY;
+            return true;
+        }
+        bytesToSkip = size;
+        state = State.SKIPPING;
+        if (kind == null) {
+            owner.unknown(code);
         }
         return true;
     }
 
     private boolean longBody(ByteBuffer in) {
-        int n = Math.min(in.remaining(), body.length - have);
-        in.get(body, have, n);
-        have += n;
-        if (have < body.length) {
+        int count = Math.min(in.remaining(), body.length - bodyBytesRead);
+        in.get(body, bodyBytesRead, count);
+        bodyBytesRead += count;
+        if (bodyBytesRead < body.length) {
             return false;
         }
         byte[] whole = body;
@@ -171,13 +199,13 @@
     }
 
     private boolean skip(ByteBuffer in) {
-        int n = (int) Math.min(in.remaining(), skip);
-        in.position(in.position() + n);
-        skip -= n;
-        if (skip == 0) {
+        int count = (int) Math.min(in.remaining(), bytesToSkip);
+        in.position(in.position() + count);
+        bytesToSkip -= count;
+        if (bytesToSkip == 0) {
             state = State.HEADER;
         }
-        return skip == 0;
+        return bytesToSkip == 0;
     }
 
     private boolean broken(String code, String why) {
--- a/src/test/java/beechseam/gearman/protocol/PacketDecoderTest.java
+++ b/src/test/java/beechseam/gearman/protocol/PacketDecoderTest.java
@@ -15,10 +15,10 @@
     private static final int IN_PLACE = 32;
 
     /** Notes what it is told, as one text each. */
-    private static final class Notes implements PacketDecoder.Owner {
-        final List<String> heard = new ArrayList<>();
+    private static final class RecordingOwner implements PacketDecoder.Owner {
+        final List<String> events = new ArrayList<>();
         PacketDecoder.Verdict verdict = PacketDecoder.Verdict.TAKE;
-        int asked;
+        int verdictRequests;
 
         @Override
         public void packet(Packet kind, Arguments args) {
@@ -26,23 +26,23 @@
             for (int i = 0; args != null && i < args.count(); i++) {
                 s.append('|').append(args.text(i));
             }
-            heard.add(args == null ? kind + " lacks" : s.toString());
+            events.add(args == null ? kind + " lacks" : s.toString());
         }
 
         @Override
         public void unknown(int code) {
-            heard.add("unknown " + code);
+            events.add("unknown " + code);
         }
 
         @Override
         public PacketDecoder.Verdict longPacket(Packet kind, int size) {
-            asked++;
+            verdictRequests++;
             return verdict;
         }
 
         @Override
         public void broken(String code, String why) {
-            heard.add(code);
+            events.add(code);
         }
 
         @Override
@@ -67,7 +67,7 @@
     }
 
     @Property(seed = "12", tries = 300)
-    void anyCutOfTheBytesGivesTheSamePackets(@ForAll long seed) {
+    void anyFragmentationGivesTheSamePackets(@ForAll long seed) {
         Random random = new Random(seed);
         List<String> expected = new ArrayList<>();
         ByteBuffer all = ByteBuffer.allocate(1 << 16);
@@ -85,38 +85,38 @@
         byte[] bytes = new byte[all.flip().remaining()];
         all.get(bytes);
         for (Random cut : new Random[] {null, random}) {
-            Notes notes = new Notes();
-            PacketDecoder decoder = new PacketDecoder(notes, Packet.REQ, 1 << 20, IN_PLACE);
+            RecordingOwner recorder = new RecordingOwner();
+            PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 1 << 20, IN_PLACE);
             feed(decoder, bytes, cut);
-            assertEquals(expected, notes.heard);
+            assertEquals(expected, recorder.events);
             assertEquals(PacketDecoder.State.HEADER, decoder.state());
             assertEquals(0, decoder.inHand());
         }
     }
 
     @Test
-    void aLongPacketIsAskedForBeforeItCostsMemory() {
+    void longPacketNeedsItsOwnersVerdictBeforeMemoryIsAllocated() {
         byte[] packet = Packet.ECHO_REQ.request("x".repeat(1000)).array();
-        Notes notes = new Notes();
-        PacketDecoder decoder = new PacketDecoder(notes, Packet.REQ, 2000, IN_PLACE);
-        notes.verdict = PacketDecoder.Verdict.WAIT;
+        RecordingOwner recorder = new RecordingOwner();
+        PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 2000, IN_PLACE);
+        recorder.verdict = PacketDecoder.Verdict.WAIT;
         ByteBuffer in = ByteBuffer.wrap(packet);
         decoder.decode(in);
         decoder.decode(in);
-        assertEquals(2, notes.asked, "asked again each time");
+        assertEquals(2, recorder.verdictRequests, "asked again each time");
         assertEquals(0, in.position(), "and nothing is used up");
-        notes.verdict = PacketDecoder.Verdict.TAKE;
+        recorder.verdict = PacketDecoder.Verdict.TAKE;
         decoder.decode(in);
-        assertEquals(List.of("ECHO_REQ|" + "x".repeat(1000)), notes.heard);
-        notes.verdict = PacketDecoder.Verdict.SKIP;
+        assertEquals(List.of("ECHO_REQ|" + "x".repeat(1000)), recorder.events);
+        recorder.verdict = PacketDecoder.Verdict.SKIP;
         feed(decoder, packet, new Random(1));
         feed(decoder, Packet.NOOP.request().array(), null);
-        assertEquals("NOOP", notes.heard.get(1), "a skipped packet leaves the stream in step");
-        assertEquals(2, notes.heard.size());
+        assertEquals("NOOP", recorder.events.get(1), "a skipped packet leaves the stream in step");
+        assertEquals(2, recorder.events.size());
     }
 
     @Test
-    void aFrameThatLiesEndsTheDecoderOnce() {
+    void malformedFrameBreaksTheDecoderOnce() {
         for (byte[] bytes : new byte[][] {
             {0, 'R', 'E', 'Q', 0, 0, 0, 16, 0, 0, 8, 0},
             {0, 'R', 'E', 'Q', 0, 0, 0, 16, -1, 0, 0, 0},
@@ -124,24 +124,24 @@
             {0, 'X'},
             {1}
         }) {
-            Notes notes = new Notes();
-            PacketDecoder decoder = new PacketDecoder(notes, Packet.REQ, 2000, IN_PLACE);
+            RecordingOwner recorder = new RecordingOwner();
+            PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 2000, IN_PLACE);
             feed(decoder, bytes, null);
             feed(decoder, Packet.NOOP.request().array(), null);
-            assertEquals(1, notes.heard.size(), notes.heard.toString());
-            assertEquals(bytes.length == 12 ? "TOO_LARGE" : "BAD_MAGIC", notes.heard.get(0));
+            assertEquals(1, recorder.events.size(), recorder.events.toString());
+            assertEquals(bytes.length == 12 ? "TOO_LARGE" : "BAD_MAGIC", recorder.events.get(0));
             assertEquals(PacketDecoder.State.BROKEN, decoder.state());
         }
     }
 
     @Test
-    void aNumberThatIsNotKnownIsPassedOverWhole() {
-        Notes notes = new Notes();
-        PacketDecoder decoder = new PacketDecoder(notes, Packet.REQ, 2000, IN_PLACE);
+    void packetOfUnknownNumberIsSkippedWhole() {
+        RecordingOwner recorder = new RecordingOwner();
+        PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 2000, IN_PLACE);
         ByteBuffer odd =
                 ByteBuffer.allocate(12 + 500).putInt(Packet.REQ).putInt(99).putInt(500);
         feed(decoder, odd.array(), new Random(2));
         feed(decoder, Packet.SUBMIT_JOB.request("f").array(), null);
-        assertEquals(List.of("unknown 99", "SUBMIT_JOB lacks"), notes.heard);
+        assertEquals(List.of("unknown 99", "SUBMIT_JOB lacks"), recorder.events);
     }
 }
