--- a/src/main/java/beechseam/dispatch/AdmissionPolicy.java
+++ b/src/main/java/beechseam/dispatch/AdmissionPolicy.java
@@ -6,17 +6,17 @@
  */
 final class AdmissionPolicy {
     /** Share of a job's slack that may pass waiting at a worker; of the slack of a class of more weight. */
-    private static final double QUEUE_SHARE = 0.7;
+    private static final double QUEUE_FRACTION = 0.7;
 
-    private static final double YIELD_SHARE = 0.5;
+    private static final double YIELD_FRACTION = 0.5;
     /** Share of a worker's slots that a class of less weight leaves to one of more. */
-    private static final double RESERVED_SHARE = 0.1;
+    private static final double RESERVED_FRACTION = 0.1;
     /** The least slack of a job, as a share of its class's objective: a late job still counts for something. */
-    private static final double MIN_SLACK_SHARE = 0.25;
+    private static final double MIN_SLACK_FRACTION = 0.25;
     /** Until so much of its slack has passed a job looks for better, where much is sent unseen. */
-    private static final double SEARCH_SHARE = 0.8;
+    private static final double SEARCH_FRACTION = 0.8;
     /** How much of its slack a job waits for a slot of its own zone, for each unit of the cost of crossing. */
-    private static final double CROSS_ZONE_PATIENCE = 3;
+    private static final double CROSS_ZONE_WAIT = 3;
     /** A little above 1: a job that costs nothing to send has no such wait at all. */
     private static final double CROSS_ZONE_MARGIN = 1.05;
     /** Suspicion from which a run is expected to be slow, so that it has to fit into the slack as well. */
@@ -42,31 +42,31 @@
 
     /** Whether the load there is under the reject threshold; a hedge needs free slots and has to be in time. */
     boolean isUnderThreshold(PendingJob job, WorkerState worker, boolean hedge) {
-        double visibleShare = context.visibleShare;
+        double visibleFraction = context.visibleFraction;
         double suspicion = outliers.suspicion(worker);
         double relativeRunTime =
                 worker.performanceIndex * worker.slots * suspicion / slowStart.slowStartCapacity(worker);
         double remainingNs = job.latestStart - context.now;
         double maxRemainingNs = Math.max(0, job.latestStart - job.arrivedAt)
-                * (CROSS_ZONE_MARGIN - CROSS_ZONE_PATIENCE * visibleShare * transferCost.crossZoneCost(job, worker));
+                * (CROSS_ZONE_MARGIN - CROSS_ZONE_WAIT * visibleFraction * transferCost.crossZoneCost(job, worker));
         if (remainingNs > maxRemainingNs) {
             return false; // a slot may yet free nearer by: the dearer the crossing, the longer the wait
         }
         // Where much is sent unseen, an expected wait is often a longer one: for a while it looks for better.
-        boolean searches = remainingNs > SEARCH_SHARE * (job.latestStart - job.arrivedAt);
-        double queueShare = QUEUE_SHARE * (searches ? visibleShare : 1);
-        double slackNs = Math.max(remainingNs, job.jobClass.latencyObjectiveNs() * MIN_SLACK_SHARE)
-                * queueShare
+        boolean searches = remainingNs > SEARCH_FRACTION * (job.latestStart - job.arrivedAt);
+        double queueFraction = QUEUE_FRACTION * (searches ? visibleFraction : 1);
+        double slackNs = Math.max(remainingNs, job.jobClass.latencyObjectiveNs() * MIN_SLACK_FRACTION)
+                * queueFraction
                 * job.runTimes.waitTolerance();
         double reservedSlots = 0; // a job of less weight leaves some room to the next of a class of more
         for (ClassRunTimes each : runTimes.classes()) {
             if (each.weightPerWork() > job.runTimes.weightPerWork()) {
-                slackNs = Math.min(slackNs, each.usualSlackNs() * YIELD_SHARE * each.waitTolerance());
-                reservedSlots = RESERVED_SHARE * worker.slots;
+                slackNs = Math.min(slackNs, each.usualSlackNs() * YIELD_FRACTION * each.waitTolerance());
+                reservedSlots = RESERVED_FRACTION * worker.slots;
             }
         }
         // What others hold is a mean among many: one that leaves part of a slot leaves a whole one at times.
-        double claimed = hedge ? job.requiredSlots : visibleShare * (job.requiredSlots + reservedSlots);
+        double claimed = hedge ? job.requiredSlots : visibleFraction * (job.requiredSlots + reservedSlots);
         double excessSlots = Math.max(0, loads.rawLoad(worker) + claimed - worker.slots);
         if (hedge) {
             return excessSlots == 0
--- a/src/main/java/beechseam/dispatch/Attempt.java
+++ b/src/main/java/beechseam/dispatch/Attempt.java
@@ -21,20 +21,20 @@
 
     double bestProgressRate;
     /** Whether the worker was estimated to have enough free slots for it when it was sent. */
-    final boolean foundFreeSlots;
+    final boolean foundSlotsAvailable;
 
     boolean cancelled;
     boolean ended;
     boolean neverRan;
     boolean barsWorker;
 
-    Attempt(PendingJob job, WorkerState worker, long sentAt, boolean foundFreeSlots) {
+    Attempt(PendingJob job, WorkerState worker, long sentAt, boolean foundSlotsAvailable) {
         this.job = job;
         this.worker = worker;
         this.number = job.attempts.size();
         this.sentAt = sentAt;
         this.lastProgressAt = sentAt;
-        this.foundFreeSlots = foundFreeSlots;
+        this.foundSlotsAvailable = foundSlotsAvailable;
     }
 
     boolean hasStarted() {
--- a/src/main/java/beechseam/dispatch/DispatchContext.java
+++ b/src/main/java/beechseam/dispatch/DispatchContext.java
@@ -19,7 +19,7 @@
     final DispatchLimits limits;
     final WorkerRules rules;
     /** Which part of all dispatchers' sends this one can account for, from 0 to 1. */
-    final double visibleShare;
+    final double visibleFraction;
 
     final long shortestObjectiveNs;
     final long tickNs;
@@ -32,7 +32,8 @@
         limits = settings.limits();
         rules = settings.rules();
         double visible = Math.min(1, MOST_VISIBLE_DISPATCHERS / Math.max(1, settings.dispatcherCount()));
-        visibleShare = visible * visible; // its own sends are one part of all, its own answers one part of the reports
+        visibleFraction =
+                visible * visible; // its own sends are one part of all, its own answers one part of the reports
         long shortest = Long.MAX_VALUE;
         for (JobClass jobClass : settings.classes()) {
             shortest = Math.min(shortest, Math.max(jobClass.latencyObjectiveNs(), MIN_TICK_NS));
@@ -43,7 +44,7 @@
 
     /** Whether so few dispatchers share the workers that each can account for all sends. */
     boolean seesAllSends() {
-        return visibleShare == 1;
+        return visibleFraction == 1;
     }
 
     boolean isLocal(WorkerState worker) {
--- a/src/main/java/beechseam/dispatch/HedgingPolicy.java
+++ b/src/main/java/beechseam/dispatch/HedgingPolicy.java
@@ -6,7 +6,7 @@
  */
 final class HedgingPolicy {
     /** An attempt that has not begun is stuck after this share of its class's objective. */
-    private static final double STUCK_SHARE = 0.25;
+    private static final double STUCK_FRACTION = 0.25;
 
     private final DispatchContext context;
     private final RetryPolicy retries;
@@ -22,7 +22,7 @@
     /** Where little is visible a hedge waits as the first does, and what is cancelled may run all the same. */
     void recordArrival() {
         hedgingBudget = Math.min(
-                RetryPolicy.MAX_SAVED_BUDGET, hedgingBudget + RetryPolicy.BUDGET_PER_JOB * context.visibleShare);
+                RetryPolicy.MAX_SAVED_BUDGET, hedgingBudget + RetryPolicy.BUDGET_PER_JOB * context.visibleFraction);
     }
 
     /** Whether stuck attempts are recalled, rather than hedged. */
@@ -51,7 +51,7 @@
     /** It waits there, or runs at a suspected worker: only the first may be recalled. */
     private boolean isStuck(Attempt attempt) {
         if (!attempt.hasStarted()) {
-            return context.now - attempt.sentAt > attempt.job.jobClass.latencyObjectiveNs() * STUCK_SHARE;
+            return context.now - attempt.sentAt > attempt.job.jobClass.latencyObjectiveNs() * STUCK_FRACTION;
         }
         return !migrates() && outliers.isHighlySuspected(attempt.worker);
     }
--- a/src/main/java/beechseam/dispatch/JobLifecycle.java
+++ b/src/main/java/beechseam/dispatch/JobLifecycle.java
@@ -75,8 +75,8 @@
     }
 
     private void send(PendingJob job, WorkerState worker) {
-        boolean foundFreeSlots = fleet.loads().rawLoad(worker) + job.requiredSlots <= worker.slots;
-        Attempt attempt = new Attempt(job, worker, context.now, foundFreeSlots);
+        boolean foundSlotsAvailable = fleet.loads().rawLoad(worker) + job.requiredSlots <= worker.slots;
+        Attempt attempt = new Attempt(job, worker, context.now, foundSlotsAvailable);
         job.attempts.add(attempt);
         job.inFlight++;
         worker.inFlight.add(attempt);
--- a/src/main/java/beechseam/dispatch/LearnedStateTransfer.java
+++ b/src/main/java/beechseam/dispatch/LearnedStateTransfer.java
@@ -22,7 +22,7 @@
 
     /** What was learned; with the record of sends to warming workers goes, for a window, the right to send. */
     LearnedState exportState() {
-        slowStart.handOverSends();
+        slowStart.releaseSends();
         LearnedState state = LearnedState.empty();
         state.putFleet(new LearnedState.Fleet(
                 runTimes.meanRunNs,
@@ -71,7 +71,7 @@
             loads.reportIntervalNs = fleet.reportIntervalNs();
             outliers.startLagNs = fleet.startLagNs();
             loads.everReported |= fleet.everReported();
-            slowStart.takeOverSends();
+            slowStart.adoptSends();
         }
         for (ClassRunTimes each : runTimes.classes()) {
             importClass(each, state.jobClass(each.jobClass.name()));
--- a/src/main/java/beechseam/dispatch/LoadEstimator.java
+++ b/src/main/java/beechseam/dispatch/LoadEstimator.java
@@ -70,7 +70,7 @@
         double queued = orElse(report.queued(), 0);
         double running = orElse(report.inFlight(), 0) - queued;
         double unknown = Double.MAX_VALUE;
-        double freeSlots = Math.min(orElse(report.freeSlots(), unknown), orElse(report.freeMemory(), unknown));
+        double availableSlots = Math.min(orElse(report.freeSlots(), unknown), orElse(report.freeMemory(), unknown));
         if (!Double.isNaN(report.freeSlots())) {
             // Free and taken slots add up to all except for noise: their mean tells, the highest sum does not.
             worker.meanReportedSlots +=
@@ -78,8 +78,8 @@
             adoptSlots(worker, worker.meanReportedSlots);
         }
         double inUse = running;
-        if (freeSlots < unknown) {
-            inUse = Math.max(running, worker.slots - freeSlots);
+        if (availableSlots < unknown) {
+            inUse = Math.max(running, worker.slots - availableSlots);
         } else if (Double.isNaN(report.inFlight())) {
             inUse = orElse(report.utilization(), 0) * worker.slots;
         }
--- a/src/main/java/beechseam/dispatch/OutlierDetector.java
+++ b/src/main/java/beechseam/dispatch/OutlierDetector.java
@@ -82,7 +82,7 @@
 
     /** A worker with free slots reported a start: how late is what silence of others is measured by. */
     void recordStart(Attempt attempt) {
-        if (attempt.foundFreeSlots) {
+        if (attempt.foundSlotsAvailable) {
             double lag = Math.min(context.now - attempt.sentAt, context.shortestObjectiveNs);
             startLagNs += START_LAG_GAIN * (lag - startLagNs);
         }
--- a/src/main/java/beechseam/dispatch/RunTimeModel.java
+++ b/src/main/java/beechseam/dispatch/RunTimeModel.java
@@ -47,8 +47,8 @@
         WorkerState worker = attempt.worker;
         double logRatio = Math.log(warmRunNs) - runTimes.expectedLog(job.job);
         double decay = runTimes.runs > ClassRunTimes.MANY_RUNS ? SCALE_DECAY : 1;
-        double dividedOut = decay * Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, relativeLog(worker)));
-        double atMeanSpeed = warmRunNs / Math.exp(dividedOut);
+        double logSpeed = decay * Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, relativeLog(worker)));
+        double atMeanSpeed = warmRunNs / Math.exp(logSpeed);
         runTimes.recordRun(job.job, Math.log(atMeanSpeed), atMeanSpeed);
         meanRunNs += Math.max(MIN_GAIN, 1 / ++runs) * (atMeanSpeed * job.requiredSlots - meanRunNs);
         worker.speed.add(logRatio);
--- a/src/main/java/beechseam/dispatch/SlowStart.java
+++ b/src/main/java/beechseam/dispatch/SlowStart.java
@@ -87,12 +87,12 @@
     }
 
     /** The record of sends is handed over: from now on others may send, and this one must not for a window. */
-    void handOverSends() {
+    void releaseSends() {
         sendsKnownSince = context.now;
     }
 
     /** Another process has handed over its record of sends: nothing is unknown. */
-    void takeOverSends() {
+    void adoptSends() {
         sendsKnownSince = context.now - context.rules.overloadWindowNs();
     }
 
--- a/src/main/java/beechseam/dispatch/TransferCost.java
+++ b/src/main/java/beechseam/dispatch/TransferCost.java
@@ -8,7 +8,7 @@
     /** How a cost, as a share of the job's weight, counts as load of each slot. */
     private static final double LOAD_PER_COST = 8;
     /** Share of the limit on idle connections for which one is taken to be open: hosts close them sooner. */
-    private static final double ASSUMED_OPEN_SHARE = 0.5;
+    private static final double ASSUMED_OPEN_FRACTION = 0.5;
 
     private static final double WEIGHT_GAIN = 0.01;
     private static final double MIN_WEIGHT = 1e-9;
@@ -45,7 +45,7 @@
     /** Whether a connection to the worker stands idle, as far as can be told from here. */
     boolean hasIdleConnection(WorkerState worker) {
         return worker.idleConnections > 0
-                && context.now - worker.connectionIdleSince < ASSUMED_OPEN_SHARE * context.limits.idleTimeoutNs();
+                && context.now - worker.connectionIdleSince < ASSUMED_OPEN_FRACTION * context.limits.idleTimeoutNs();
     }
 
     /** An attempt takes an idle connection, or opens one. */
--- a/src/main/java/beechseam/dispatch/WorkerSelector.java
+++ b/src/main/java/beechseam/dispatch/WorkerSelector.java
@@ -124,7 +124,7 @@
         if (connected != null && !sampled.contains(connected) && isEligible(job, connected)) {
             sampled.add(connected);
         }
-        int wanted = warming + (int) Math.max(MIN_SAMPLED, context.visibleShare * ready.size());
+        int wanted = warming + (int) Math.max(MIN_SAMPLED, context.visibleFraction * ready.size());
         int maxDraws = MIN_DRAWS + DRAWS_PER_WANTED * wanted;
         for (int i = 0; i < maxDraws && sampled.size() < wanted && !ready.isEmpty(); i++) {
             WorkerState worker = table.readyAtCapacity(random.nextDouble() * table.totalCapacity());
--- a/src/test/java/beechseam/dispatch/ConnectionReuseTest.java
+++ b/src/test/java/beechseam/dispatch/ConnectionReuseTest.java
@@ -19,7 +19,7 @@
 /** Which of many equal workers a job goes to: one with an open connection, while that costs no balance. */
 class ConnectionReuseTest {
     /** Half of the rig's limit on idle connections, as the node's pool keeps them. */
-    private static final long KEPT_NS = 5 * S;
+    private static final long IDLE_TIMEOUT_NS = 5 * S;
 
     private static final int SLOTS = 4;
 
@@ -27,30 +27,30 @@
     private record Run(long endsAt, int module, long job, long worker) {}
 
     /** Modules of one group in virtual time, with workers that run each job for its time at once. */
-    private static final class Nodes {
+    private static final class DispatcherGroup {
         private final List<Dispatcher> modules = new ArrayList<>();
         private final List<Map<Long, ArrayDeque<Long>>> idle = new ArrayList<>();
         private final PriorityQueue<Run> runs = new PriorityQueue<>(Comparator.comparing(Run::endsAt));
-        private final Map<Long, Integer> held = new HashMap<>();
+        private final Map<Long, Integer> inFlight = new HashMap<>();
         private final Map<Long, Integer> sent = new HashMap<>();
         private long now = 100 * S;
         private long lastJob;
         private long sentTo;
         private int opened;
 
-        private Nodes(int modules, int groupSize, int workers) {
+        private DispatcherGroup(int modules, int groupSize, int workers) {
             DispatchSettings settings = DispatcherHarness.settings(
                     LoadReportSource.ANSWERS,
                     false,
                     groupSize,
                     DispatcherHarness.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
-            List<WorkerEndpoint> lines = new ArrayList<>();
+            List<WorkerEndpoint> entries = new ArrayList<>();
             for (int i = 1; i <= workers; i++) {
-                lines.add(DispatcherHarness.worker(i, "z1", 0, EndpointState.READY));
+                entries.add(DispatcherHarness.worker(i, "z1", 0, EndpointState.READY));
             }
             for (int i = 0; i < modules; i++) {
                 this.modules.add(new Dispatcher(now, settings, i + 1, new Sends()));
-                this.modules.get(i).endpointsUpdated(now, EndpointUpdate.SNAPSHOT, lines);
+                this.modules.get(i).endpointsUpdated(now, EndpointUpdate.SNAPSHOT, entries);
                 idle.add(new HashMap<>());
             }
         }
@@ -66,7 +66,7 @@
             public void cancel(long job, int attempt) {}
 
             @Override
-            public void shed(long job, long pauseNs) {}
+            public void shed(long job, long retryAfterNs) {}
 
             @Override
             public void fail(long job) {}
@@ -75,7 +75,7 @@
             public void healthCheck(long worker) {}
 
             @Override
-            public void scheduleTimer(long offsetNs, long tag) {}
+            public void scheduleTimer(long delayNs, long tag) {}
 
             @Override
             public void watchEndpoints() {}
@@ -92,7 +92,7 @@
             long worker = sentTo;
             if (worker != 0) {
                 connect(module, worker);
-                held.merge(worker, 1, Integer::sum);
+                inFlight.merge(worker, 1, Integer::sum);
                 sent.merge(worker, 1, Integer::sum);
                 modules.get(module).attemptStarted(now, job, 0);
                 runs.add(new Run(now + runNs, module, job, worker));
@@ -102,7 +102,7 @@
 
         private void connect(int module, long worker) {
             ArrayDeque<Long> open = idle.get(module).computeIfAbsent(worker, id -> new ArrayDeque<>());
-            while (!open.isEmpty() && open.peekFirst() < now - KEPT_NS) {
+            while (!open.isEmpty() && open.peekFirst() < now - IDLE_TIMEOUT_NS) {
                 open.removeFirst();
             }
             opened += open.isEmpty() ? 1 : 0;
@@ -114,7 +114,7 @@
             while (!runs.isEmpty() && runs.peek().endsAt <= until) {
                 Run run = runs.poll();
                 now = run.endsAt;
-                int left = held.merge(run.worker, -1, Integer::sum);
+                int left = inFlight.merge(run.worker, -1, Integer::sum);
                 idle.get(run.module).get(run.worker).addLast(now);
                 modules.get(run.module)
                         .attemptEnded(
@@ -128,7 +128,7 @@
             now = until;
         }
 
-        private int day(int jobs, long gapNs, long runNs) {
+        private int run(int jobs, long gapNs, long runNs) {
             for (int i = 0; i < jobs; i++) {
                 job(i % modules.size(), runNs);
                 pass(gapNs);
@@ -140,15 +140,15 @@
     /** Sixty jobs a second for 25 s through one node, alone or one of many. */
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 16, 100})
-    void sixteenTimesTheWorkersNeedFewMoreConnections(int groupSize) {
-        int usual = new Nodes(1, groupSize, 200).day(1500, S / 60, 150 * MS);
-        int many = new Nodes(1, groupSize, 3200).day(1500, S / 60, 150 * MS);
+    void connectionsGrowLittleWithSixteenTimesTheWorkers(int groupSize) {
+        int usual = new DispatcherGroup(1, groupSize, 200).run(1500, S / 60, 150 * MS);
+        int many = new DispatcherGroup(1, groupSize, 3200).run(1500, S / 60, 150 * MS);
         assertTrue(many <= 2.5 * usual + 40, many + " connections where 200 workers need " + usual);
     }
 
     @Test
-    void loadComesBeforeAnOpenConnectionAndThatBeforeTheLongestRest() {
-        Nodes one = new Nodes(1, 1, 3);
+    void effectiveLoadThenIdleConnectionThenLeastRecentUseDecides() {
+        DispatcherGroup one = new DispatcherGroup(1, 1, 3);
         long first = one.job(0, 10 * MS);
         one.pass(20 * MS);
         assertEquals(first, one.job(0, S), "idle, with a connection");
@@ -161,18 +161,18 @@
     }
 
     @Test
-    void aWorkerThatIsNotUsedForLongHasNoConnectionAnyMore() {
-        Nodes one = new Nodes(1, 1, 2);
+    void idleConnectionOfAnUnusedWorkerExpires() {
+        DispatcherGroup one = new DispatcherGroup(1, 1, 2);
         long first = one.job(0, 10 * MS);
-        one.pass(KEPT_NS + S);
+        one.pass(IDLE_TIMEOUT_NS + S);
         assertTrue(one.job(0, 10 * MS) != first, "the least recently used");
     }
 
     @Test
-    void whenAPreferredWorkerDrainsAnotherGetsTheNextJob() {
+    void drainingPreferredWorkerIsReplaced() {
         for (int groupSize : new int[] {1, 100}) {
-            Nodes one = new Nodes(1, groupSize, 50);
-            one.day(100, 20 * MS, 10 * MS);
+            DispatcherGroup one = new DispatcherGroup(1, groupSize, 50);
+            one.run(100, 20 * MS, 10 * MS);
             long preferred = one.job(0, 10 * MS);
             one.pass(20 * MS);
             WorkerEndpoint draining = DispatcherHarness.worker(preferred, "z1", 0, EndpointState.DRAINING);
@@ -187,10 +187,10 @@
 
     /** Each node prefers workers that it has connections to; together they must not prefer the same. */
     @Test
-    void aHundredNodesSpreadTheirJobsOverAllWorkers() {
+    void hundredDispatchersBalanceJobsAcrossAllWorkers() {
         int workers = 60;
-        Nodes fleet = new Nodes(100, 100, workers);
-        fleet.day(12_000, S / 600, 150 * MS);
+        DispatcherGroup fleet = new DispatcherGroup(100, 100, workers);
+        fleet.run(12_000, S / 600, 150 * MS);
         double mean = 12_000.0 / workers;
         int most =
                 fleet.sent.values().stream().mapToInt(Integer::intValue).max().orElse(0);
--- a/src/test/java/beechseam/dispatch/DispatcherHarness.java
+++ b/src/test/java/beechseam/dispatch/DispatcherHarness.java
@@ -22,18 +22,19 @@
         module = new Dispatcher(now, settings, seed, this);
     }
 
-    static JobClass of(Idempotency effect, DeduplicationScope group) {
-        return new JobClass("c", 400 * MS, 4 * S, 2, 1, 0, effect, group, 2 * S, null);
+    static JobClass of(Idempotency idempotency, DeduplicationScope scope) {
+        return new JobClass("c", 400 * MS, 4 * S, 2, 1, 0, idempotency, scope, 2 * S, null);
     }
 
-    static DispatchSettings settings(LoadReportSource reports, boolean ask, int group, JobClass... classes) {
+    static DispatchSettings settings(
+            LoadReportSource reports, boolean pollsEndpoints, int dispatcherCount, JobClass... classes) {
         return new DispatchSettings(
                 List.of(classes),
                 new DispatchLimits(3, S, true, true, reports == LoadReportSource.HEALTH_CHECKS, true, 10 * S),
                 RULES,
                 reports,
-                ask,
-                group,
+                pollsEndpoints,
+                dispatcherCount,
                 0,
                 "z1",
                 true,
@@ -69,16 +70,16 @@
         return settings(LoadReportSource.ANSWERS, false, 1, classes);
     }
 
-    static WorkerEndpoint worker(long id, String zone, long born, EndpointState state) {
-        return new WorkerEndpoint(id, 0, zone, "k", born, state);
+    static WorkerEndpoint worker(long id, String zone, long startedNs, EndpointState state) {
+        return new WorkerEndpoint(id, 0, zone, "k", startedNs, state);
     }
 
     DispatcherHarness workers(int count) {
-        List<WorkerEndpoint> lines = new ArrayList<>();
+        List<WorkerEndpoint> entries = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            lines.add(worker(i, "z1", 0, EndpointState.READY));
+            entries.add(worker(i, "z1", 0, EndpointState.READY));
         }
-        module.endpointsUpdated(now, EndpointUpdate.CACHED, lines);
+        module.endpointsUpdated(now, EndpointUpdate.CACHED, entries);
         return this;
     }
 
@@ -140,7 +141,7 @@
     }
 
     @Override
-    public void shed(long job, long pauseNs) {
+    public void shed(long job, long retryAfterNs) {
         done.add("refuse " + job);
     }
 
@@ -155,7 +156,7 @@
     }
 
     @Override
-    public void scheduleTimer(long offsetNs, long tag) {
+    public void scheduleTimer(long delayNs, long tag) {
         done.add("wake " + tag);
     }
 
--- a/src/test/java/beechseam/dispatch/EmbeddingTest.java
+++ b/src/test/java/beechseam/dispatch/EmbeddingTest.java
@@ -8,53 +8,53 @@
 
 /** The README's example of a host, whole. */
 class EmbeddingTest {
-    /** A host keeps connections and timers behind these; here it only notes what it was asked. */
+    /** A host keeps connections and timers behind these; here it only notes the calls. */
     private static final class Host implements DispatchActions {
-        final List<String> asked = new ArrayList<>();
+        final List<String> actions = new ArrayList<>();
 
         @Override
         public void send(long job, long worker, long timeoutNs) {
-            asked.add("send job " + job + " to worker " + worker);
+            actions.add("send job " + job + " to worker " + worker);
         }
 
         @Override
         public void cancel(long job, int attempt) {
-            asked.add("cancel");
+            actions.add("cancel");
         }
 
         @Override
-        public void shed(long job, long pauseNs) {
-            asked.add("refuse job " + job);
+        public void shed(long job, long retryAfterNs) {
+            actions.add("refuse job " + job);
         }
 
         @Override
         public void fail(long job) {
-            asked.add("fail job " + job);
+            actions.add("fail job " + job);
         }
 
         @Override
         public void healthCheck(long worker) {
-            asked.add("probe");
+            actions.add("probe");
         }
 
         @Override
-        public void scheduleTimer(long offsetNs, long tag) {
+        public void scheduleTimer(long delayNs, long tag) {
             // a host sets a timer here that calls wake
         }
 
         @Override
         public void watchEndpoints() {
-            asked.add("watch");
+            actions.add("watch");
         }
 
         @Override
         public void log(String text) {
-            asked.add("log");
+            actions.add("log");
         }
     }
 
     @Test
-    void aJobIsSentServedAndForgotten() {
+    void jobIsSentServedAndForgotten() {
         JobClass mail = new JobClass(
                 "mail", 200_000_000L, 2_000_000_000L, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
         DispatchSettings settings = new DispatchSettings(
@@ -80,6 +80,6 @@
         dispatcher.jobArrived(now, new Job(17, 0, 2_000_000_000L, 0, 1, 0));
         dispatcher.attemptStarted(now + 1_000_000, 17, 0);
         dispatcher.attemptEnded(now + 90_000_000, 17, 0, Outcome.SERVED, true, null);
-        assertEquals(List.of("send job 17 to worker 1"), host.asked);
+        assertEquals(List.of("send job 17 to worker 1"), host.actions);
     }
 }
--- a/src/test/java/beechseam/dispatch/FleetSimulation.java
+++ b/src/test/java/beechseam/dispatch/FleetSimulation.java
@@ -22,106 +22,113 @@
 import java.util.function.Consumer;
 
 /**
- * Many real engines with their modules before stand-in workers, on one virtual clock: a day of a few minutes
- * takes a second, and the same seed gives the same day. It knows the rules, and counts what breaks them.
+ * Many real engines with their dispatchers before simulated workers, on one virtual clock: a run of a few minutes
+ * takes a second, and the same seed gives the same run. It checks the rules of the deployment, and counts violations.
  */
 final class FleetSimulation {
     static final long MS = 1_000_000L;
     static final long S = 1_000_000_000L;
-    private static final long WAY = MS / 2;
+    private static final long HOP_NS = MS / 2;
+
+    /** Work that reached a worker while it warmed up, and whether the sender knew of that start of the worker. */
+    private record ReceivedWork(long at, double work, boolean startKnown) {}
 
     /** A worker: {@code slots} jobs at once, in order where {@code fifo}, else whatever fits. */
-    final class Box {
+    final class SimulatedWorker {
         final long id;
         final String zone;
         final int cell;
         final int slots;
-        final ArrayDeque<Job> queue = new ArrayDeque<>();
-        final List<Job> running = new ArrayList<>();
-        final ArrayDeque<double[]> taken = new ArrayDeque<>();
+        final ArrayDeque<Execution> queue = new ArrayDeque<>();
+        final List<Execution> running = new ArrayList<>();
+        final ArrayDeque<ReceivedWork> receivedWork = new ArrayDeque<>();
         final double speed;
-        double slow = 1;
-        double fails;
-        boolean silent;
-        boolean fell;
-        long born;
-        long toldDraining = Long.MAX_VALUE;
+        double slowdown = 1;
+        double failureRate;
+        boolean stalled;
+        boolean collapsed;
+        long startedNs;
+        long drainListedAt = Long.MAX_VALUE;
         EndpointState state = EndpointState.READY;
-        LoadReport shown;
+        LoadReport lastReport;
 
-        Box(long id, String zone, int cell, int slots, double speed) {
+        SimulatedWorker(long id, String zone, int cell, int slots, double speed) {
             this.id = id;
             this.zone = zone;
             this.cell = cell;
             this.slots = slots;
             this.speed = speed;
-            shown = new LoadReport(0, 0, slots, Double.NaN, Double.NaN);
+            lastReport = new LoadReport(0, 0, slots, Double.NaN, Double.NaN);
         }
 
-        double ramp() {
+        double slowStartCapacity() {
             double start = settings.rules().initialCapacity();
-            double share =
-                    born == 0 ? 1 : (now - born) / (double) settings.rules().slowStartNs();
+            double share = startedNs == 0
+                    ? 1
+                    : (now - startedNs) / (double) settings.rules().slowStartNs();
             return Math.max(start, Math.min(1, start + (1 - start) * share));
         }
 
-        double used() {
-            return running.stream().mapToDouble(j -> j.need).sum();
+        double slotsInUse() {
+            return running.stream().mapToDouble(j -> j.requiredSlots).sum();
         }
 
-        int held() {
+        int inFlight() {
             return queue.size() + running.size();
         }
 
-        void take(Job job) {
-            if (silent || fell) {
+        void receive(Execution job) {
+            if (stalled || collapsed) {
                 return; // nothing is said
             }
-            bear(job);
-            if (random.nextDouble() < fails) {
+            chargeBudget(job);
+            if (random.nextDouble() < failureRate) {
                 after(5 * MS, () -> end(job, Outcome.ERROR));
                 return;
             }
             queue.add(job);
-            next();
+            startNext();
         }
 
-        /** What a cold worker gets in the time of the rule; past it, with the slack for chance, it falls. */
-        private void bear(Job job) {
-            if (born == 0 || now - born > settings.rules().slowStartNs()) {
+        /** What a warming worker receives within the window of the rule; past the budget and chance it collapses. */
+        private void chargeBudget(Execution job) {
+            if (startedNs == 0 || now - startedNs > settings.rules().slowStartNs()) {
                 return;
             }
             long span = settings.rules().overloadWindowNs();
-            taken.add(new double[] {now, job.work * job.need, job.toldBorn == born ? 1 : 0});
-            taken.removeIf(t -> t[0] < now - span);
+            receivedWork.add(new ReceivedWork(now, job.work * job.requiredSlots, job.knownStartNs == startedNs));
+            receivedWork.removeIf(each -> each.at < now - span);
             double mean = meanWork();
-            double n = settings.rules().overloadFactor() * ramp() * slots * speed * span / mean;
+            double n = settings.rules().overloadFactor() * slowStartCapacity() * slots * speed * span / mean;
             double most = n + 2 * Math.sqrt(n) + 2; // the operators' term: the rest is chance
-            double sum = taken.stream().mapToDouble(t -> t[1]).sum() / mean;
-            double knowing = taken.stream().mapToDouble(t -> t[1] * t[2]).sum() / mean;
-            mostOfBudget = Math.max(mostOfBudget, knowing / most);
-            if (!fell && sum > most) {
-                fell = true;
-                if (knowing > sum * 2 / 3) {
-                    broken.add(id + " pushed over by " + knowing + " of " + sum + ", it bears " + most);
+            double sum = receivedWork.stream().mapToDouble(each -> each.work).sum() / mean;
+            double sentKnowingly = receivedWork.stream()
+                            .mapToDouble(each -> each.startKnown ? each.work : 0)
+                            .sum()
+                    / mean;
+            maxBudgetUse = Math.max(maxBudgetUse, sentKnowingly / most);
+            if (!collapsed && sum > most) {
+                collapsed = true;
+                if (sentKnowingly > sum * 2 / 3) {
+                    violations.add(id + " overloaded by " + sentKnowingly + " of " + sum + ", its budget is " + most);
                 }
             }
         }
 
-        void next() {
+        void startNext() {
             for (var i = queue.iterator(); i.hasNext(); ) {
-                Job job = i.next();
-                if (job.gone) {
+                Execution job = i.next();
+                if (job.cancelled) {
                     i.remove();
-                } else if (used() + job.need <= slots) {
+                } else if (slotsInUse() + job.requiredSlots <= slots) {
                     i.remove();
                     running.add(job);
-                    double time = job.work / (speed * ramp()) * slow;
-                    after(WAY, () -> job.tell(e -> e.attemptStarted(job.attempt)));
+                    double time = job.work / (speed * slowStartCapacity()) * slowdown;
+                    after(HOP_NS, () -> job.deliver(e -> e.attemptStarted(job.attempt)));
                     after((long) time, () -> {
                         if (running.remove(job)) {
                             end(job, Outcome.SERVED);
-                            next();
+                            startNext();
                         }
                     });
                 } else if (fifo) {
@@ -130,33 +137,33 @@
             }
         }
 
-        private void end(Job job, Outcome outcome) {
-            LoadReport load = shown;
-            if (!silent && !fell) {
-                after(WAY, () -> job.tell(e -> e.attemptEnded(job.attempt, outcome, new byte[0], load)));
+        private void end(Execution job, Outcome outcome) {
+            LoadReport load = lastReport;
+            if (!stalled && !collapsed) {
+                after(HOP_NS, () -> job.deliver(e -> e.attemptEnded(job.attempt, outcome, new byte[0], load)));
             }
         }
 
-        void cancel(Job job) {
-            job.gone = true;
+        void cancel(Execution job) {
+            job.cancelled = true;
             if (cancelStops && running.remove(job)) {
-                next();
+                startNext();
             }
         }
     }
 
-    private static final class Job {
+    private static final class Execution {
         Node node;
         Engine engine;
         Attempt attempt;
         double work;
-        double need;
-        boolean gone;
+        double requiredSlots;
+        boolean cancelled;
         /** The start of its worker that its node knew of as it was sent. */
-        long toldBorn;
+        long knownStartNs;
 
         /** A process that has ended hears nothing any more. */
-        void tell(Consumer<Engine> what) {
+        void deliver(Consumer<Engine> what) {
             if (engine == node.engine) {
                 what.accept(engine);
             }
@@ -167,7 +174,7 @@
     final class Node implements Egress, Timers {
         private final Set<Timer> armed = new HashSet<>();
         /** Of which start of each worker it has been told. */
-        final Map<Box, Long> toldOf = new HashMap<>();
+        final Map<SimulatedWorker, Long> knownStarts = new HashMap<>();
 
         final int number;
         Engine engine;
@@ -202,11 +209,11 @@
             return zones.get(number % zones.size());
         }
 
-        /** The process ends and another begins: nothing of the first is known, and its clients leave. */
+        /** The process ends and another starts: nothing of the first is known, and its clients disconnect. */
         void restart() {
             armed.forEach(timers::cancel);
             armed.clear();
-            owed -= engine.counters().current();
+            unanswered -= engine.counters().current();
             start();
         }
 
@@ -224,137 +231,138 @@
 
         @Override
         public void send(Attempt attempt) {
-            Box box = boxes.get(attempt.target);
-            Asked asked = (Asked) attempt.request.message;
+            SimulatedWorker worker = workers.get(attempt.target);
+            ClientRequest clientRequest = (ClientRequest) attempt.request.message;
             sends.merge(attempt.target, 1, Integer::sum);
             attempt.begun();
-            if (now - settings.rules().drainGraceNs() > box.toldDraining) {
-                broken.add("sent to " + box.id + " after its drain");
+            if (now - settings.rules().drainGraceNs() > worker.drainListedAt) {
+                violations.add("sent to " + worker.id + " after its drain");
             }
-            asked.sentTo(box, attempt.request.correlation);
-            Job job = new Job();
+            clientRequest.checkRetry(worker, attempt.request.correlation);
+            Execution job = new Execution();
             job.node = this;
             job.engine = engine;
             job.attempt = attempt;
-            job.work = asked.work;
-            job.need = asked.need;
-            job.toldBorn = toldOf.getOrDefault(box, 0L);
+            job.work = clientRequest.work;
+            job.requiredSlots = clientRequest.requiredSlots;
+            job.knownStartNs = knownStarts.getOrDefault(worker, 0L);
             attempt.exchange = job;
-            long way = WAY + (box.zone.equals(zone()) ? 0 : MS);
-            after(way, () -> box.take(job));
+            long way = HOP_NS + (worker.zone.equals(zone()) ? 0 : MS);
+            after(way, () -> worker.receive(job));
         }
 
         @Override
         public void cancel(Attempt attempt) {
-            after(WAY, () -> boxes.get(attempt.target).cancel((Job) attempt.exchange));
+            after(HOP_NS, () -> workers.get(attempt.target).cancel((Execution) attempt.exchange));
         }
 
         @Override
         public void healthCheck(long target) {
             after(
-                    2 * WAY,
-                    () -> engine.healthCheckCompleted(target, !boxes.get(target).silent, boxes.get(target).shown));
+                    2 * HOP_NS,
+                    () -> engine.healthCheckCompleted(
+                            target, !workers.get(target).stalled, workers.get(target).lastReport));
         }
     }
 
-    /** What a client asked for, and what came of it. */
-    final class Asked implements Ingress {
+    /** A client's request and its answers; it checks that attempts keep to the class's idempotency. */
+    final class ClientRequest implements Ingress {
         final int jobClass;
         final double work;
-        final double need;
+        final double requiredSlots;
         final long firstAt;
-        final int tries;
+        final int clientAttempt;
         int answers;
-        private Box first;
+        private SimulatedWorker first;
         private long firstSentAt;
 
-        Asked(int jobClass, double work, double need, long firstAt, int tries) {
+        ClientRequest(int jobClass, double work, double requiredSlots, long firstAt, int clientAttempt) {
             this.jobClass = jobClass;
             this.work = work;
-            this.need = need;
+            this.requiredSlots = requiredSlots;
             this.firstAt = firstAt;
-            this.tries = tries;
+            this.clientAttempt = clientAttempt;
         }
 
         /** Whatever is sent here may have run: a further one goes as the class allows. */
-        private void sentTo(Box box, String id) {
+        private void checkRetry(SimulatedWorker worker, String id) {
             JobClass c = settings.classes().get(jobClass);
             if (first != null && c.idempotency() != Idempotency.IDEMPOTENT) {
                 boolean same = c.deduplicationScope() == DeduplicationScope.ALL
-                        || first.zone.equals(box.zone)
-                                && (c.deduplicationScope() == DeduplicationScope.ZONE || first.cell == box.cell);
+                        || first.zone.equals(worker.zone)
+                                && (c.deduplicationScope() == DeduplicationScope.ZONE || first.cell == worker.cell);
                 if (c.idempotency() == Idempotency.NON_IDEMPOTENT
                         || !same
                         || now - firstSentAt > c.idempotencyWindowNs()) {
-                    broken.add(id + " of " + c.name() + " sent to " + first.id + ", then to " + box.id);
+                    violations.add(id + " of " + c.name() + " sent to " + first.id + ", then to " + worker.id);
                 }
             }
             firstSentAt = first == null ? now : firstSentAt;
-            first = first == null ? box : first;
+            first = first == null ? worker : first;
         }
 
-        private void once(Request r) {
+        private void recordAnswer(Request r) {
             if (++answers > 1) {
-                broken.add("two answers to " + r.correlation);
+                violations.add("two answers to " + r.correlation);
             }
             if (now > r.deadlineAt) {
-                broken.add("an answer after the time of " + r.correlation);
+                violations.add("an answer after the time of " + r.correlation);
             }
-            owed--;
+            unanswered--;
         }
 
         @Override
         public void served(Request r, byte[] result) {
             JobClass c = settings.classes().get(jobClass);
-            once(r);
+            recordAnswer(r);
             count(now - firstAt <= c.latencyObjectiveNs() + c.stretch() * work ? inTime : late, jobClass);
         }
 
         @Override
-        public void shed(Request r, long pauseNs) {
-            once(r);
-            pauses.add(pauseNs);
-            if (tries < clientTries) { // at once, whatever it was told
-                after(20 * MS, () -> submit(jobClass, work, need, firstAt, tries + 1));
+        public void shed(Request r, long retryAfterNs) {
+            recordAnswer(r);
+            retryAfters.add(retryAfterNs);
+            if (clientAttempt < maxClientAttempts) { // at once, whatever it was told
+                after(20 * MS, () -> submit(jobClass, work, requiredSlots, firstAt, clientAttempt + 1));
             } else {
-                count(refused, jobClass);
+                count(shed, jobClass);
             }
         }
 
         @Override
         public void failed(Request r, String why) {
-            once(r);
+            recordAnswer(r);
             count(failed, jobClass);
         }
     }
 
     final DispatchSettings settings;
-    final Map<Long, Box> boxes = new LinkedHashMap<>();
+    final Map<Long, SimulatedWorker> workers = new LinkedHashMap<>();
     final List<Node> nodes = new ArrayList<>();
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final Map<Long, Integer> sends = new HashMap<>();
-    final List<Long> pauses = new ArrayList<>();
+    final List<Long> retryAfters = new ArrayList<>();
     final Map<Integer, Integer> inTime = new HashMap<>();
     final Map<Integer, Integer> late = new HashMap<>();
-    final Map<Integer, Integer> refused = new HashMap<>();
+    final Map<Integer, Integer> shed = new HashMap<>();
     final Map<Integer, Integer> failed = new HashMap<>();
     final Random random;
     List<String> zones = List.of("z1");
-    double[] shares = {1};
+    double[] classShares = {1};
     /** What each node gets of the traffic, or null: all alike. */
     double[] nodeShares;
 
     double[] meanWorks = {100 * MS};
     double[][] slotShares = {{1}};
-    double spread = 1;
+    double workSigma = 1;
     boolean fifo = true;
     boolean cancelStops = true;
-    int clientTries = 1;
+    int maxClientAttempts = 1;
     boolean reporting = true;
     long reportMs = 500;
     long now = 1_000_000 * S;
-    double mostOfBudget;
-    int owed;
+    double maxBudgetUse;
+    int unanswered;
     private final TimerQueue timers = new TimerQueue();
     private long jobs;
 
@@ -378,65 +386,66 @@
                 now + span);
     }
 
-    Box box(long id, String zone, int cell, int slots, double speed) {
-        Box b = new Box(id, zone, cell, slots, speed);
-        boxes.put(id, b);
+    SimulatedWorker addWorker(long id, String zone, int cell, int slots, double speed) {
+        SimulatedWorker b = new SimulatedWorker(id, zone, cell, slots, speed);
+        workers.put(id, b);
         return b;
     }
 
     /** The nodes start with the whole list; reports are renewed from now on. */
-    void begin(int count) {
+    void start(int count) {
         for (int i = 0; i < count; i++) {
             nodes.add(new Node(i));
-            nodes.get(i).engine.updateEndpoints(EndpointUpdate.SNAPSHOT, list());
+            nodes.get(i).engine.updateEndpoints(EndpointUpdate.SNAPSHOT, endpoints());
         }
         report();
     }
 
-    List<WorkerEndpoint> list() {
-        return boxes.values().stream().map(FleetSimulation::row).toList();
+    List<WorkerEndpoint> endpoints() {
+        return workers.values().stream().map(FleetSimulation::endpoint).toList();
     }
 
-    static WorkerEndpoint row(Box b) {
-        return new WorkerEndpoint(b.id, b.cell, b.zone, "k" + b.slots, b.born, b.state, Double.NaN);
+    static WorkerEndpoint endpoint(SimulatedWorker b) {
+        return new WorkerEndpoint(b.id, b.cell, b.zone, "k" + b.slots, b.startedNs, b.state, Double.NaN);
     }
 
     /** Each node is told of a change, each at a time of its own. */
-    void tell(Box b, long withinNs) {
-        WorkerEndpoint row = row(b);
+    void announce(SimulatedWorker b, long withinNs) {
+        WorkerEndpoint row = endpoint(b);
         for (Node n : nodes) {
             after((long) (random.nextDouble() * withinNs), () -> {
                 n.engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row));
-                n.toldOf.put(b, row.startedNs());
+                n.knownStarts.put(b, row.startedNs());
             });
         }
-        b.toldDraining = b.state == EndpointState.READY ? Long.MAX_VALUE : now + withinNs;
+        b.drainListedAt = b.state == EndpointState.READY ? Long.MAX_VALUE : now + withinNs;
     }
 
     private void report() {
-        for (Box b : boxes.values()) {
-            double free = Math.max(0, b.slots - b.used());
-            LoadReport l = reporting ? new LoadReport(b.held(), b.queue.size(), free, Double.NaN, Double.NaN) : null;
-            after(reportMs * MS / 2, () -> b.shown = l);
+        for (SimulatedWorker b : workers.values()) {
+            double free = Math.max(0, b.slots - b.slotsInUse());
+            LoadReport l =
+                    reporting ? new LoadReport(b.inFlight(), b.queue.size(), free, Double.NaN, Double.NaN) : null;
+            after(reportMs * MS / 2, () -> b.lastReport = l);
         }
         if (settings.liveWeights()) { // a list that tells each one's load, to all alike and late
-            List<WorkerEndpoint> rows = boxes.values().stream()
+            List<WorkerEndpoint> rows = workers.values().stream()
                     .filter(b -> b.state == EndpointState.READY)
                     .map(b -> new WorkerEndpoint(
                             b.id,
                             b.cell,
                             b.zone,
                             "k" + b.slots,
-                            b.born,
+                            b.startedNs,
                             b.state,
-                            b.slots / (1 + b.held() / (double) b.slots)))
+                            b.slots / (1 + b.inFlight() / (double) b.slots)))
                     .toList();
             after(
                     reportMs * MS,
                     () -> nodes.forEach(n -> n.engine.updateEndpoints(
                             EndpointUpdate.DELTA,
                             rows.stream()
-                                    .filter(r -> boxes.get(r.id()).state == EndpointState.READY)
+                                    .filter(r -> workers.get(r.id()).state == EndpointState.READY)
                                     .toList())));
         }
         after(reportMs * MS, this::report);
@@ -444,14 +453,14 @@
 
     double meanWork() {
         double sum = 0;
-        for (int i = 0; i < shares.length; i++) {
+        for (int i = 0; i < classShares.length; i++) {
             double slots = 0;
             for (int k = 0; k < slotShares[i].length; k++) {
                 slots += slotShares[i][k] * (1 << k);
             }
-            sum += shares[i] * meanWorks[i] * slots;
+            sum += classShares[i] * meanWorks[i] * slots;
         }
-        return sum / Arrays.stream(shares).sum();
+        return sum / Arrays.stream(classShares).sum();
     }
 
     /** So many jobs a second come from now on, of all classes, to nodes drawn. */
@@ -459,8 +468,8 @@
         long end = now + forNs;
         after((long) (-Math.log(1 - random.nextDouble()) / perSecond * S), () -> {
             if (now < end) {
-                int c = draw(shares);
-                double sigma = spread;
+                int c = draw(classShares);
+                double sigma = workSigma;
                 double work = meanWorks[c] * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
                 submit(c, Math.max(MS, work), 1 << draw(slotShares[c]), now, 1);
                 load(perSecond, end - now);
@@ -479,13 +488,14 @@
         return of.length - 1;
     }
 
-    void submit(int jobClass, double work, double need, long firstAt, int tries) {
+    void submit(int jobClass, double work, double requiredSlots, long firstAt, int clientAttempt) {
         Node n = nodes.get(nodeShares == null ? random.nextInt(nodes.size()) : draw(nodeShares));
-        Asked asked = new Asked(jobClass, work, need, firstAt, tries);
-        owed++;
+        ClientRequest clientRequest = new ClientRequest(jobClass, work, requiredSlots, firstAt, clientAttempt);
+        unanswered++;
         long budget = settings.classes().get(jobClass).deadlineNs();
-        beechseam.dispatch.Job job = new beechseam.dispatch.Job(0, jobClass, budget, 0, need, 0, tries == 1);
-        n.engine.submit("j" + ++jobs, job, asked, asked);
+        beechseam.dispatch.Job job =
+                new beechseam.dispatch.Job(0, jobClass, budget, 0, requiredSlots, 0, clientAttempt == 1);
+        n.engine.submit("j" + ++jobs, job, clientRequest, clientRequest);
     }
 
     void run(long span) {
@@ -502,9 +512,9 @@
     }
 
     /** Of the jobs of a class that have ended, or (-1) of all, the share that was served in time. */
-    double share(int jobClass) {
+    double inTimeFraction(int jobClass) {
         int all = 0;
-        for (Map<Integer, Integer> each : List.of(inTime, late, refused, failed)) {
+        for (Map<Integer, Integer> each : List.of(inTime, late, shed, failed)) {
             all += jobClass < 0 ? sum(each) : each.getOrDefault(jobClass, 0);
         }
         return (jobClass < 0 ? sum(inTime) : inTime.getOrDefault(jobClass, 0)) / (double) Math.max(1, all);
@@ -512,7 +522,7 @@
 
     @Override
     public String toString() {
-        return "in time " + inTime + " late " + late + " refused " + refused + " failed " + failed + " broken "
-                + broken;
+        return "in time " + inTime + " late " + late + " shed " + shed + " failed " + failed + " violations "
+                + violations;
     }
 }
