--- a/src/test/java/beechseam/ops/HandoverLinkTest.java
+++ b/src/test/java/beechseam/ops/HandoverLinkTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The link between two processes of a node, at the size that a large fleet makes of what they hand over. */
+/** The link between two processes of a node, with as much learned state as a large fleet makes. */
 class HandoverLinkTest {
     private static final int PIECES = 40;
 
     private final Loopback net = new Loopback();
 
-    /** Notes what it is told, and hands over pieces of the longest frames. */
-    private static final class End implements HandoverLink.Process {
-        private final List<Integer> recalled = new ArrayList<>();
+    /** Records the sizes of the pieces it gets, and hands over pieces of the largest size. */
+    private static final class TestProcess implements HandoverLink.Process {
+        private final List<Integer> receivedBytes = new ArrayList<>();
 
         @Override
         public Iterable<String> currentState() {
@@ -37,7 +37,7 @@
 
         @Override
         public void learnedStateReceived(ByteBuffer piece) {
-            recalled.add(piece.remaining());
+            receivedBytes.add(piece.remaining());
         }
 
         @Override
@@ -55,17 +55,17 @@
         net.close();
     }
 
-    /** All of it waits at once for a process that has not read a byte yet: 5 MB here. */
+    /** All of it is queued before the successor has read a byte: 5 MB here. */
     @Test
-    void whatIsHandedOverMayBeOfAnySize(@TempDir Path directory) {
-        HandoverLink elder = new HandoverLink(net.loop, directory, "n", new End());
-        End younger = new End();
-        HandoverLink link = new HandoverLink(net.loop, directory, "n", younger);
-        net.until("the welcome", () -> !link.awaitsPeerState());
-        assertEquals(PIECES, younger.recalled.size());
-        assertTrue(younger.recalled.stream().allMatch(each -> each == HandoverLink.MAX_PIECE_BYTES));
+    void learnedStateMayExceedTheWriteLimit(@TempDir Path directory) {
+        HandoverLink predecessor = new HandoverLink(net.loop, directory, "n", new TestProcess());
+        TestProcess successor = new TestProcess();
+        HandoverLink link = new HandoverLink(net.loop, directory, "n", successor);
+        net.until("the whole state", () -> !link.awaitsPeerState());
+        assertEquals(PIECES, successor.receivedBytes.size());
+        assertTrue(successor.receivedBytes.stream().allMatch(each -> each == HandoverLink.MAX_PIECE_BYTES));
         assertEquals(1, link.peerCount());
-        elder.close();
+        predecessor.close();
         link.close();
     }
 }
--- a/src/test/java/beechseam/platform/HandoverPiecesTest.java
+++ b/src/test/java/beechseam/platform/LearnedStateCodecTest.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a process hands over to its successor, cut into frames by size and not by number. */
-class HandoverPiecesTest {
-    private static final int SERVERS = 4096;
-    private static final int LONG_HISTORY = 400;
+/** Learned state of a large fleet is cut into pieces by size, and each piece fits a frame of the link. */
+class LearnedStateCodecTest {
+    private static final int WORKERS = 4096;
+    private static final int LONG_ENTRY_FIGURES = 400;
 
     private static double[] figures(int count) {
         double[] figures = new double[count];
@@ -24,7 +24,7 @@
         return figures;
     }
 
-    private static Map<String, Object> joined(List<byte[]> pieces) throws IOException {
+    private static Map<String, Object> decodeAll(List<byte[]> pieces) throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         for (byte[] each : pieces) {
             assertTrue(each.length <= HandoverLink.MAX_PIECE_BYTES, each.length + " bytes in one frame");
@@ -35,25 +35,25 @@
     }
 
     @Test
-    void allOfItArrivesInFramesThatFit() throws IOException {
+    void everyEntryArrivesInPiecesThatFitAFrame() throws IOException {
         Map<String, double[]> learned = new LinkedHashMap<>();
-        for (int i = 0; i < SERVERS; i++) {
+        for (int i = 0; i < WORKERS; i++) {
             learned.put("worker " + i, figures(6));
-            learned.put("cold " + i, figures(i % 10 == 0 ? LONG_HISTORY : 0));
+            learned.put("cold " + i, figures(i % 10 == 0 ? LONG_ENTRY_FIGURES : 0));
         }
-        Map<String, Object> all = joined(LearnedStateCodec.encode(new LearnedState(learned)));
+        Map<String, Object> all = decodeAll(LearnedStateCodec.encode(new LearnedState(learned)));
         assertEquals(learned.keySet(), all.keySet());
-        assertEquals(LONG_HISTORY, ((List<?>) all.get("cold 10")).size());
+        assertEquals(LONG_ENTRY_FIGURES, ((List<?>) all.get("cold 10")).size());
     }
 
-    /** One that fits no frame costs itself only. */
+    /** An entry that fits no frame is left out, and no other. */
     @Test
-    void whatFitsNoFrameIsLeftOut() throws IOException {
+    void oversizedEntryIsSkipped() throws IOException {
         Map<String, double[]> learned = new LinkedHashMap<>();
         learned.put("before", figures(3));
         learned.put("much", figures(10_000));
         learned.put("after", figures(3));
-        Map<String, Object> all = joined(LearnedStateCodec.encode(new LearnedState(learned)));
+        Map<String, Object> all = decodeAll(LearnedStateCodec.encode(new LearnedState(learned)));
         assertEquals(List.of("before", "after"), new ArrayList<>(all.keySet()));
     }
 }
--- a/src/test/java/beechseam/platform/ProcessHandoverTest.java
+++ b/src/test/java/beechseam/platform/ProcessHandoverTest.java
@@ -18,17 +18,17 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Two processes of one node at one address, here on one loop: the younger joins, the elder hands over. */
+/** Two processes of one node at one address, here on one loop: the successor joins, the predecessor hands over. */
 class ProcessHandoverTest extends NodeHarness {
     private final Path directory = Files.createTempDirectory("handover");
     private final int port = freePort();
     private final Set<PlatformNode> ended = new HashSet<>();
-    private final PlatformNode elder = start();
+    private final PlatformNode predecessor = start();
 
     ProcessHandoverTest() throws Exception {
-        net.until("the elder's list", () -> {
+        net.until("the predecessor's list", () -> {
             answerDiscovery();
-            return elder.isSynced();
+            return predecessor.isSynced();
         });
     }
 
@@ -66,79 +66,79 @@
         }
     }
 
-    private PlatformNode successor() throws Exception {
-        PlatformNode younger = start();
+    private PlatformNode startSuccessor() throws Exception {
+        PlatformNode successor = start();
         net.until("the successor's yes", () -> {
             answerDiscovery();
-            return younger.status() == null;
+            return successor.status() == null;
         });
-        return younger;
+        return successor;
     }
 
-    /** Jobs of either process end well whichever of them their call-backs come to. */
+    /** Jobs of either process are answered whichever of them gets their callbacks. */
     @Test
-    void theElderAnswersAllItTookWhileClientsGoToTheYounger() throws Exception {
+    void predecessorAnswersItsJobsWhileClientsGoToTheSuccessor() throws Exception {
         Peer early = ask("c1", "once", "30000m");
         attempt(0, "c1").say(answer("202 Accepted", ""));
         Peer idle = client().say("GET /_health HTTP/1.1\r\n\r\n");
         heard(idle, "ready\n");
-        PlatformNode younger = start();
-        assertEquals("ERR starting\n", status(younger), "not before discovery has told it the list");
+        PlatformNode successor = start();
+        assertEquals("ERR starting\n", status(successor), "not before discovery has told it the list");
         net.until("its yes", () -> {
             answerDiscovery();
-            return younger.status() == null;
+            return successor.status() == null;
         });
-        stop(elder);
-        assertEquals("ERR stopping\n", status(elder));
+        stop(predecessor);
+        assertEquals("ERR stopping\n", status(predecessor));
         idle.say("GET /_health HTTP/1.1\r\n\r\n");
         assertTrue(heard(idle, "ready\n").startsWith("HTTP/1.1 200"), "one process's end is not the node's");
         net.until("the client sent on", () -> idle.gone);
         net.settle(50);
-        Peer next = ask("c2", "once", "30000m"); // the elder listens no more
-        net.until("taken by the younger", () -> younger.counters.requestsAccepted == 1);
-        done("c1", "one"); // comes to the younger, and is the elder's
+        Peer next = ask("c2", "once", "30000m"); // the predecessor listens no more
+        net.until("taken by the successor", () -> successor.counters.requestsAccepted == 1);
+        done("c1", "one"); // comes to the successor, and is the predecessor's
         assertTrue(heard(early, "one").contains("Connection: close\r\n"));
-        net.until("the elder's end", () -> ended.contains(elder));
+        net.until("the predecessor's end", () -> ended.contains(predecessor));
         done("c2", "two");
         assertFalse(heard(next, "two").contains("Connection: close"));
-        assertEquals(0, younger.counters.lateCallbacks);
+        assertEquals(0, successor.counters.lateCallbacks);
         net.until("nobody to pass it to", () -> {
             done("c1", "again");
-            return younger.counters.lateCallbacks == 1;
+            return successor.counters.lateCallbacks == 1;
         });
     }
 
-    /** A successor that dies must not leave the address without a listener while jobs wait for call-backs. */
+    /** A successor that stops must not leave the address without a listener while jobs wait for callbacks. */
     @Test
-    void theElderListensAgainWhenItsSuccessorDies() throws Exception {
+    void predecessorListensAgainWhenItsSuccessorStops() throws Exception {
         Peer early = ask("c1", "once", "30000m");
         attempt(0, "c1").say(answer("202 Accepted", ""));
-        PlatformNode younger = successor();
-        stop(elder);
-        stop(younger);
-        net.until("its end", () -> ended.contains(younger) && !elder.handedOver());
+        PlatformNode successor = startSuccessor();
+        stop(predecessor);
+        stop(successor);
+        net.until("its end", () -> ended.contains(successor) && !predecessor.handedOver());
         net.settle(10); // a listener is closed by the next select
         done("c1", "one");
         assertTrue(heard(early, "one").startsWith("HTTP/1.1 200"));
-        net.until("the elder's end", () -> ended.contains(elder));
+        net.until("the predecessor's end", () -> ended.contains(predecessor));
     }
 
-    /** What a process that was killed has left behind is no elder: the start is a plain one. */
+    /** The socket that a killed process has left behind is no predecessor. */
     @Test
-    void aDeadSocketIsRemovedAndTheNodeStartsAlone() throws Exception {
+    void staleSocketIsRemovedAtStart() throws Exception {
         Path stale;
         try (var files = Files.list(directory)) {
             stale = directory.resolve(files.findFirst().orElseThrow().getFileName() + ".x.sock");
         }
         Files.createFile(stale);
-        PlatformNode younger = start();
+        PlatformNode successor = start();
         assertFalse(Files.exists(stale));
-        assertFalse(younger.listening(), "the elder lives, and is waited for");
+        assertFalse(successor.listening(), "the predecessor lives, and is waited for");
     }
 
-    /** Unix sockets have short names; a node in a deep directory serves all the same, alone. */
+    /** The path of a Unix socket is limited; a node in a deep directory serves without a link. */
     @Test
-    void aPathTooLongForASocketMeansNoLink() throws Exception {
+    void nodeServesWithoutLinkWhenSocketPathIsTooLong() throws Exception {
         Path deep = Files.createDirectories(directory.resolve("d".repeat(100)));
         PlatformNode alone = new PlatformNode(
                 net.loop, config(discoveryAt, "\"listen\":\"127.0.0.1:0\",\"state_dir\":\"" + deep + "\","));
@@ -148,21 +148,21 @@
 
     /** Standby is the node's, not one process's. */
     @Test
-    void standbyHoldsForBothProcesses() throws Exception {
-        PlatformNode younger = successor();
-        operator(younger.console(), "standby");
-        net.until("the elder's", elder::standby);
-        operator(elder.console(), "active");
-        net.until("the younger's", () -> !younger.standby());
-        operator(elder.console(), "standby");
-        net.until("again", younger::standby);
+    void standbyAppliesToAllProcesses() throws Exception {
+        PlatformNode successor = startSuccessor();
+        operator(successor.console(), "standby");
+        net.until("the predecessor's", predecessor::standby);
+        operator(predecessor.console(), "active");
+        net.until("the successor's", () -> !successor.standby());
+        operator(predecessor.console(), "standby");
+        net.until("again", successor::standby);
         PlatformNode third = start();
         net.until("a third, told at its start", third::standby);
     }
 
-    /** The younger starts with the elder's figures, in as many pieces as they need. */
+    /** The successor starts with the predecessor's figures, in as many pieces as they need. */
     @Test
-    void whatTheElderHasLearnedComesWithItsWelcome() throws Exception {
+    void successorStartsWithThePredecessorsLearnedState() throws Exception {
         for (int i = 0; i < 5; i++) {
             rested();
             Peer client = ask("c" + i, "safe", "30000m");
@@ -172,45 +172,45 @@
             done("c" + i, "r");
             heard(client, "r");
         }
-        double[] learned = elder.engine.exportLearnedState().entries().get("class safe");
+        double[] learned = predecessor.engine.exportLearnedState().entries().get("class safe");
         assertEquals(5, learned[2]);
         assertArrayEquals(
-                learned, successor().engine.exportLearnedState().entries().get("class safe"));
+                learned, startSuccessor().engine.exportLearnedState().entries().get("class safe"));
     }
 
-    /** A ban holds through an upgrade and a kill, and either process may be told. */
+    /** Maintenance outlives an upgrade, and either process takes the calls. */
     @Test
-    void maintenanceHoldsForBothProcessesAndTheNext() throws Exception {
-        assertEquals("OK\n", operator(elder.console(), "maint-on s-0badcafe"));
-        PlatformNode younger = successor();
-        assertFalse(younger.engine.routeTable().acceptsNewWork(0x0badcafeL), "kept, though it is listed");
-        operator(younger.console(), "maint-off s-0badcafe");
+    void maintenanceAppliesToBothProcessesAndTheNext() throws Exception {
+        assertEquals("OK\n", operator(predecessor.console(), "maint-on s-0badcafe"));
+        PlatformNode successor = startSuccessor();
+        assertFalse(successor.engine.routeTable().acceptsNewWork(0x0badcafeL), "kept, though it is listed");
+        operator(successor.console(), "maint-off s-0badcafe");
         net.until(
                 "back at both",
-                () -> elder.engine.routeTable().acceptsNewWork(0x0badcafeL)
-                        && younger.engine.routeTable().acceptsNewWork(0x0badcafeL));
-        operator(elder.console(), "maint-on s-0badcafe");
-        net.until("out at both", () -> !younger.engine.routeTable().acceptsNewWork(0x0badcafeL));
-        stop(elder);
-        net.until("the elder's end", () -> ended.contains(elder));
-        assertFalse(successor().engine.routeTable().acceptsNewWork(0x0badcafeL));
+                () -> predecessor.engine.routeTable().acceptsNewWork(0x0badcafeL)
+                        && successor.engine.routeTable().acceptsNewWork(0x0badcafeL));
+        operator(predecessor.console(), "maint-on s-0badcafe");
+        net.until("out at both", () -> !successor.engine.routeTable().acceptsNewWork(0x0badcafeL));
+        stop(predecessor);
+        net.until("the predecessor's end", () -> ended.contains(predecessor));
+        assertFalse(startSuccessor().engine.routeTable().acceptsNewWork(0x0badcafeL));
     }
 
-    /** A ban that could not be kept binds all the same, says so, and is kept when it is said again. */
+    /** Maintenance that could not be written applies all the same, is reported, and is written by a repeated call. */
     @Test
-    void aBanThatCouldNotBeKeptIsKeptWhenSaidAgain() throws Exception {
+    void failedMaintenanceWriteIsRetriedByTheSameCall() throws Exception {
         Path aside = directory.resolveSibling(directory.getFileName() + "-aside");
         Files.move(directory, aside);
-        assertTrue(operator(elder.console(), "maint-on s-0badcafe").startsWith("ERR done, but"));
-        assertFalse(elder.engine.routeTable().acceptsNewWork(0x0badcafeL));
+        assertTrue(operator(predecessor.console(), "maint-on s-0badcafe").startsWith("ERR done, but"));
+        assertFalse(predecessor.engine.routeTable().acceptsNewWork(0x0badcafeL));
         Files.move(aside, directory);
-        assertEquals("OK\n", operator(elder.console(), "maint-on s-0badcafe"));
-        assertFalse(successor().engine.routeTable().acceptsNewWork(0x0badcafeL));
+        assertEquals("OK\n", operator(predecessor.console(), "maint-on s-0badcafe"));
+        assertFalse(startSuccessor().engine.routeTable().acceptsNewWork(0x0badcafeL));
     }
 
-    /** Random jobs, call-backs and pauses through one upgrade: one whole answer to every client. */
+    /** Random jobs, callbacks and pauses during one upgrade: one whole answer to every client. */
     @Property(seed = "1207", tries = 8)
-    void everyClientGetsOneAnswerThroughAnUpgrade(@ForAll long seed) throws Exception {
+    void everyClientGetsExactlyOneAnswerDuringAnUpgrade(@ForAll long seed) throws Exception {
         ProcessHandoverTest each = new ProcessHandoverTest();
         try {
             each.randomSteps(new Random(seed));
@@ -221,17 +221,17 @@
 
     private void randomSteps(Random random) throws Exception {
         List<Peer> clients = new ArrayList<>();
-        PlatformNode younger = null;
+        PlatformNode successor = null;
         for (int step = 0; step < 60; step++) {
             if (step == 20) {
-                younger = start();
+                successor = start();
             } else if (step == 40) {
-                PlatformNode joined = younger;
+                PlatformNode joined = successor;
                 net.until("the successor's yes", () -> {
                     answerDiscovery();
                     return joined.status() == null;
                 });
-                stop(elder);
+                stop(predecessor);
             } else if (random.nextBoolean()) {
                 clients.add(ask("c" + clients.size(), "safe", "900m"));
             } else if (!clients.isEmpty()) {
@@ -243,20 +243,20 @@
             answerDiscovery();
             net.settle(random.nextInt(3));
         }
-        PlatformNode last = younger;
+        PlatformNode last = successor;
         net.until(
                 "all answers",
                 () -> last.engine.openRequests() == 0
-                        && ended.contains(elder)
+                        && ended.contains(predecessor)
                         && clients.stream().allMatch(each -> each.heard().contains("\r\n\r\n")));
         for (Peer each : clients) {
             assertEquals(0, each.heard().lastIndexOf("HTTP/1.1 "), "one answer: " + each.heard());
         }
-        assertEquals(clients.size(), answers(elder.counters) + answers(last.counters));
-        assertEquals(0, elder.counters.faults + last.counters.faults);
+        assertEquals(clients.size(), answers(predecessor.counters) + answers(last.counters));
+        assertEquals(0, predecessor.counters.faults + last.counters.faults);
     }
 
-    private static long answers(Counters c) {
-        return c.served() + c.shed() + c.failed() + c.crowdedOut();
+    private static long answers(Counters counters) {
+        return counters.served() + counters.shed() + counters.failed() + counters.crowdedOut();
     }
 }
