--- a/src/main/java/beechseam/config/ConfigException.java
+++ b/src/main/java/beechseam/config/ConfigException.java
@@ -6,15 +6,16 @@
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** {@code key} names what is at fault, usually a key; {@code problem} follows in the message. */
     public ConfigException(String key, String problem) {
         super(key + ": " + problem);
     }
 
-    private ConfigException(String whole) {
-        super(whole);
+    private ConfigException(String message) {
+        super(message);
     }
 
-    /** The same with the file that it is about, unless it names it already. */
+    /** The same with the name of the file in front of the message, unless it stands there already. */
     public ConfigException in(String file) {
         return getMessage().startsWith(file + ": ") ? this : new ConfigException(file + ": " + getMessage());
     }
--- a/src/main/java/beechseam/config/ConfigNode.java
+++ b/src/main/java/beechseam/config/ConfigNode.java
@@ -1,21 +1,24 @@
 package beechseam.config;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * An object of a configuration, read with checks and defaults; every complaint names the key by its path. It
- * notes what it was asked for, so that a key that nobody asked for is found, and a schema can be made of what
- * is asked.
+ * An object of a configuration, read with checks and defaults; every error names the key by its path. Reading a
+ * key also declares it: so a key that nothing reads is found afterwards, and a schema can be generated from what
+ * was read, without a second description of the format. A null value counts as absent.
  */
 public final class ConfigNode {
-    /** What a key must be. */
+    /** The type of a key's value. */
     enum Kind {
         TEXT,
         WHOLE,
@@ -30,79 +33,100 @@
     }
 
     /**
-     * What was asked of a key: its bounds if it is a number, its words if it is one of some, the word that
-     * may stand in place of a list; {@code child} is the last object read of it, null for other kinds.
+     * What was declared of a key by reading it.
+     *
+     * @param kind         the type of its value
+     * @param required     whether it must be there
+     * @param defaultValue its value if absent, or null if there is none
+     * @param least        the lower bound of a number
+     * @param most         the upper bound of a number
+     * @param words        the words of which it is one, or the word that may stand in place of a list; else null
+     * @param child        the last object read of it, or null for other types
      */
-    record Asked(
+    record KeyDeclaration(
             Kind kind,
             boolean required,
-            Object otherwise,
+            Object defaultValue,
             double least,
             double most,
             List<String> words,
             ConfigNode child) {}
 
-    /** Words further apart than this share of their length are not taken for one misspelt. */
-    private static final double LIKE = 0.5;
-    /** And no further than this, where the other may as well be somebody else's word. */
-    private static final double MISSPELT = 0.25;
+    /** The largest edit distance of a suggested key, as a share of the length of the unknown one. */
+    private static final double MAX_SUGGESTION_DISTANCE = 0.5;
+    /** The same where the unknown key may belong to another program. */
+    private static final double MAX_MISSPELLING_DISTANCE = 0.25;
 
     private final String path;
     private final Map<?, ?> values;
-    private final Map<String, Asked> asked = new LinkedHashMap<>();
+    private final Map<String, KeyDeclaration> declared = new LinkedHashMap<>();
 
+    /**
+     * A node over parsed JSON.
+     *
+     * @param path   its path in the configuration, empty for the root
+     * @param values its values by key
+     */
     public ConfigNode(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
 
-    Map<String, Asked> asked() {
-        return asked;
+    /** The keys read so far, in the order of their first reading. */
+    Map<String, KeyDeclaration> declared() {
+        return declared;
     }
 
-    private void note(
-            String key, Kind kind, Object otherwise, double least, double most, List<String> words, ConfigNode child) {
-        Asked before = asked.get(key);
+    private void declare(
+            String key,
+            Kind kind,
+            Object defaultValue,
+            double least,
+            double most,
+            List<String> words,
+            ConfigNode child) {
+        KeyDeclaration before = declared.get(key);
         if (before == null || child != null) {
-            asked.put(key, new Asked(kind, before != null && before.required, otherwise, least, most, words, child));
+            declared.put(
+                    key,
+                    new KeyDeclaration(
+                            kind, before != null && before.required, defaultValue, least, most, words, child));
         }
     }
 
-    private void note(String key, Kind kind, Object otherwise) {
-        note(key, kind, otherwise, 0, 0, null, null);
+    private void declare(String key, Kind kind, Object defaultValue) {
+        declare(key, kind, defaultValue, 0, 0, null, null);
     }
 
     private void require(String key, Kind kind) throws ConfigException {
-        asked.put(key, new Asked(kind, true, null, 0, 0, null, null));
+        declared.put(key, new KeyDeclaration(kind, true, null, 0, 0, null, null));
         if (!has(key)) {
             throw missing(key);
         }
     }
 
-    /** Complains of a key that was not asked for, with the nearest of those that were. */
+    /** Throws if there is a key that has not been read; the message suggests the nearest of those that have been. */
     public void noOthers() throws ConfigException {
         for (Object each : values.keySet()) {
-            if (!asked.containsKey(each)) {
-                throw unknown(each.toString(), nearest(each.toString(), LIKE));
+            if (!declared.containsKey(each)) {
+                throw unknown(each.toString(), nearest(each.toString(), MAX_SUGGESTION_DISTANCE));
             }
         }
     }
 
-    /** Keys that may stand here though nothing is asked of them by their name. */
+    /** Declares keys that may be there and are not read by their names. */
     public void mayHave(String... keys) {
         for (String each : keys) {
-            note(each, Kind.TEXT, null);
+            declare(each, Kind.TEXT, null);
         }
     }
 
-    /**
-     * Keys that were not asked for, each with one of which it is a misspelling, or null where it is of none.
-     */
+    /** The keys that have not been read, each with the declared key that it misspells, or null if it is like none. */
     public Map<String, String> others() {
         Map<String, String> others = new LinkedHashMap<>();
         for (Object each : values.keySet()) {
-            if (!asked.containsKey(each)) {
-                others.put(each.toString(), nearest(each.toString(), MISSPELT));
+            if (!declared.containsKey(each)) {
+                others.put(each.toString(), nearest(each.toString(), MAX_MISSPELLING_DISTANCE));
             }
         }
         return others;
@@ -111,7 +135,7 @@
     private String nearest(String key, double share) {
         String best = null;
         int least = (int) Math.max(1, key.length() * share) + 1;
-        for (String each : asked.keySet()) {
+        for (String each : declared.keySet()) {
             int distance = LevenshteinDistance.getDefaultInstance().apply(key.toLowerCase(), each.toLowerCase());
             if (distance < least) {
                 least = distance;
@@ -121,31 +145,35 @@
         return best;
     }
 
+    /** The path of a key of this object, as errors name it. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
+    /** Whether the key has a value other than null. */
     public boolean has(String key) {
         return values.get(key) != null;
     }
 
+    /** The values by key, as parsed. */
     public Map<?, ?> values() {
         return values;
     }
 
+    /** An error about a key; names its value if that is a text, a number or a flag. */
     public ConfigException wrong(String key, String problem) {
         Object value = values.get(key);
         boolean plain = value instanceof String || value instanceof Number || value instanceof Boolean;
         return new ConfigException(path(key), plain ? problem + " (it is " + value + ")" : problem);
     }
 
-    /** A key that nobody asks for; {@code near} is the one that was meant, or null where none is like it. */
+    /** The error for an unknown key; {@code near} is the key that may be meant, or null to name all that are known. */
     ConfigException unknown(String key, String near) {
         return new ConfigException(
                 path(key),
                 "is not known here; "
                         + (near == null
-                                ? "known are " + String.join(", ", asked.keySet())
+                                ? "known are " + String.join(", ", declared.keySet())
                                 : "did you mean " + near + "?"));
     }
 
@@ -153,43 +181,46 @@
         return wrong(key, "is missing");
     }
 
+    /** A text that must be there and is not blank. */
     public String text(String key) throws ConfigException {
         require(key, Kind.TEXT);
         return text(key, null);
     }
 
-    public String text(String key, String otherwise) throws ConfigException {
-        note(key, Kind.TEXT, otherwise);
+    /** A text that is not blank, or the default, which may be null. */
+    public String text(String key, String defaultValue) throws ConfigException {
+        declare(key, Kind.TEXT, defaultValue);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof String s) || s.isBlank()) {
+        if (!(value instanceof String text) || text.isBlank()) {
             throw wrong(key, "must be a text that is not empty");
         }
-        return s;
+        return text;
     }
 
-    /** A whole number within bounds. */
-    public long whole(String key, long least, long most, long otherwise) throws ConfigException {
-        note(key, Kind.WHOLE, otherwise, least, most, null, null);
-        double value = number(key, least, most, otherwise);
+    /** A whole number from {@code least} to {@code most}, or the default, which is not checked. */
+    public long whole(String key, long least, long most, long defaultValue) throws ConfigException {
+        declare(key, Kind.WHOLE, defaultValue, least, most, null, null);
+        double value = number(key, least, most, defaultValue);
         if (value != Math.rint(value)) {
             throw wrong(key, "must be a whole number");
         }
-        return values.get(key) instanceof Number n ? n.longValue() : otherwise;
+        return values.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    public double number(String key, double least, double most, double otherwise) throws ConfigException {
-        note(key, Kind.NUMBER, otherwise, least, most, null, null);
+    /** A number from {@code least} to {@code most}, or the default, which is not checked. */
+    public double number(String key, double least, double most, double defaultValue) throws ConfigException {
+        declare(key, Kind.NUMBER, defaultValue, least, most, null, null);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
+        if (!(value instanceof Number number) || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
             throw wrong(key, "must be a number from " + plain(least) + " to " + plain(most));
         }
-        return n.doubleValue();
+        return number.doubleValue();
     }
 
     private static String plain(double value) {
@@ -198,26 +229,35 @@
                 : Double.toString(value);
     }
 
-    public boolean flag(String key, boolean otherwise) throws ConfigException {
-        note(key, Kind.FLAG, otherwise);
+    /** True or false, or the default. */
+    public boolean flag(String key, boolean defaultValue) throws ConfigException {
+        declare(key, Kind.FLAG, defaultValue);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof Boolean b)) {
+        if (!(value instanceof Boolean flag)) {
             throw wrong(key, "must be true or false");
         }
-        return b;
+        return flag;
     }
 
-    public <E extends Enum<E>> E word(String key, Class<E> words, E otherwise) throws ConfigException {
-        List<String> known = java.util.Arrays.stream(words.getEnumConstants())
-                .map(e -> e.toString().toLowerCase())
+    /** A constant by its {@code toString}, in any case of letters, or the default, which may be null. */
+    public <E extends Enum<E>> E word(String key, Class<E> words, E defaultValue) throws ConfigException {
+        List<String> known = Arrays.stream(words.getEnumConstants())
+                .map(each -> each.toString().toLowerCase())
                 .toList();
-        note(key, Kind.WORD, otherwise == null ? null : otherwise.toString().toLowerCase(), 0, 0, known, null);
+        declare(
+                key,
+                Kind.WORD,
+                defaultValue == null ? null : defaultValue.toString().toLowerCase(),
+                0,
+                0,
+                known,
+                null);
         String value = text(key, null);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         for (E each : words.getEnumConstants()) {
             if (each.toString().equalsIgnoreCase(value)) {
@@ -229,9 +269,9 @@
                 "must be one of " + List.of(words.getEnumConstants()).toString().toLowerCase());
     }
 
-    /** A directory, or null where none is named; it is not looked for here. */
+    /** The path of a directory, or null if absent; whether it exists is not checked. */
     public Path directory(String key) throws ConfigException {
-        note(key, Kind.DIRECTORY, null);
+        declare(key, Kind.DIRECTORY, null);
         try {
             return has(key) ? Path.of(text(key, null)) : null;
         } catch (InvalidPathException e) {
@@ -239,10 +279,10 @@
         }
     }
 
-    /** An IP address and port; no names, since nothing here resolves them. */
-    public InetSocketAddress address(String key, String otherwise) throws ConfigException {
-        note(key, Kind.ADDRESS, otherwise);
-        String value = text(key, otherwise);
+    /** An IP address and port; required if the default is null. A host name is an error: nothing here resolves it. */
+    public InetSocketAddress address(String key, String defaultValue) throws ConfigException {
+        declare(key, Kind.ADDRESS, defaultValue);
+        String value = text(key, defaultValue);
         if (value == null) {
             throw missing(key);
         }
@@ -253,6 +293,7 @@
         return address;
     }
 
+    /** The address that a text gives, or null if it is none. */
     static InetSocketAddress address(String value) {
         int colon = value.lastIndexOf(':');
         String host = colon < 0 ? "" : value.substring(0, colon);
@@ -261,30 +302,32 @@
         }
         try {
             int port = Integer.parseInt(value.substring(colon + 1));
-            return new InetSocketAddress(java.net.InetAddress.getByName(host), port);
-        } catch (IllegalArgumentException | java.net.UnknownHostException e) {
+            return new InetSocketAddress(InetAddress.getByName(host), port);
+        } catch (IllegalArgumentException | UnknownHostException e) {
             return null;
         }
     }
 
+    /** An object that must be there. */
     public ConfigNode object(String key) throws ConfigException {
         require(key, Kind.OBJECT);
         return object(key, null);
     }
 
-    public ConfigNode object(String key, Map<?, ?> otherwise) throws ConfigException {
+    /** An object, or one over the default's values if absent. */
+    public ConfigNode object(String key, Map<?, ?> defaultValue) throws ConfigException {
         Object value = values.get(key);
         if (value != null && !(value instanceof Map<?, ?>)) {
             throw wrong(key, "must be an object");
         }
-        ConfigNode child = new ConfigNode(path(key), value == null ? otherwise : (Map<?, ?>) value);
-        note(key, Kind.OBJECT, null, 0, 0, null, child);
+        ConfigNode child = new ConfigNode(path(key), value == null ? defaultValue : (Map<?, ?>) value);
+        declare(key, Kind.OBJECT, null, 0, 0, null, child);
         return child;
     }
 
-    /** Checks that a list, if there is one, holds numbers only. */
+    /** Throws if the key is there and is not a list of numbers. */
     public void numbers(String key) throws ConfigException {
-        note(key, Kind.NUMBERS, null);
+        declare(key, Kind.NUMBERS, null);
         Object value = values.get(key);
         if (value != null
                 && !(value instanceof List<?> list && list.stream().allMatch(each -> each instanceof Number))) {
@@ -292,15 +335,15 @@
         }
     }
 
-    /** The objects of a list; absent is empty. */
+    /** The objects of a list; empty if absent. */
     public List<ConfigNode> objects(String key) throws ConfigException {
         return objects(key, null);
     }
 
-    /** The same, or null where the word stands in the list's place. */
+    /** The objects of a list, empty if absent; null if {@code word}, null for none, stands in its place. */
     public List<ConfigNode> objects(String key, String word) throws ConfigException {
         List<String> words = word == null ? null : List.of(word);
-        note(key, Kind.OBJECTS, null, 0, 0, words, null);
+        declare(key, Kind.OBJECTS, null, 0, 0, words, null);
         Object value = values.get(key);
         if (word != null && word.equals(value)) {
             return null;
@@ -318,7 +361,7 @@
                 throw new ConfigException(at, "must be an object");
             }
             ConfigNode child = new ConfigNode(at, map);
-            note(key, Kind.OBJECTS, null, 0, 0, words, child);
+            declare(key, Kind.OBJECTS, null, 0, 0, words, child);
             all.add(child);
         }
         return all;
--- a/src/main/java/beechseam/config/JsonSchema.java
+++ b/src/main/java/beechseam/config/JsonSchema.java
@@ -1,6 +1,6 @@
 package beechseam.config;
 
-import beechseam.config.ConfigNode.Asked;
+import beechseam.config.ConfigNode.KeyDeclaration;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * A JSON Schema (draft 2020-12) of what the program asks of a configuration: made of a sample that it has
- * read.
+ * Generates a JSON Schema (draft 2020-12) of a configuration from the keys that reading a sample has declared, so
+ * that no second description of the format has to be kept in step.
  */
 public final class JsonSchema {
     private static final String ADDRESS = "^(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]):\\d{1,5}$";
@@ -17,118 +17,128 @@
     private JsonSchema() {}
 
     /**
-     * The schema as indented JSON with a line end. {@code sample} has been read and has an object of each
-     * kind.
+     * Generates the schema.
+     *
+     * @param sample a node that has been read and holds an object of every kind
+     * @param title  the schema's title
+     * @return indented JSON with a line end
      */
     public static String of(ConfigNode sample, String title) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator g = Json.FACTORY.createGenerator(text)) {
-            g.useDefaultPrettyPrinter().writeStartObject();
-            g.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
-            g.writeStringField("title", title);
-            object(g, sample);
-            g.writeEndObject();
+        try (JsonGenerator json = Json.FACTORY.createGenerator(text)) {
+            json.useDefaultPrettyPrinter().writeStartObject();
+            json.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
+            json.writeStringField("title", title);
+            object(json, sample);
+            json.writeEndObject();
         }
         return text + "\n";
     }
 
-    private static void object(JsonGenerator g, ConfigNode of) throws IOException {
-        g.writeStringField("type", "object");
-        g.writeBooleanField("additionalProperties", false);
-        List<String> required = of.asked().entrySet().stream()
+    private static void object(JsonGenerator json, ConfigNode node) throws IOException {
+        json.writeStringField("type", "object");
+        json.writeBooleanField("additionalProperties", false);
+        List<String> required = node.declared().entrySet().stream()
                 .filter(e -> e.getValue().required())
                 .map(Map.Entry::getKey)
                 .toList();
         if (!required.isEmpty()) {
-            g.writeArrayFieldStart("required");
+            json.writeArrayFieldStart("required");
             for (String each : required) {
-                g.writeString(each);
+                json.writeString(each);
             }
-            g.writeEndArray();
+            json.writeEndArray();
         }
-        g.writeObjectFieldStart("properties");
-        for (Map.Entry<String, Asked> each : of.asked().entrySet()) {
-            g.writeObjectFieldStart(each.getKey());
-            value(g, each.getValue());
-            g.writeEndObject();
+        json.writeObjectFieldStart("properties");
+        for (Map.Entry<String, KeyDeclaration> each : node.declared().entrySet()) {
+            json.writeObjectFieldStart(each.getKey());
+            value(json, each.getValue());
+            json.writeEndObject();
         }
-        g.writeEndObject();
+        json.writeEndObject();
     }
 
-    private static void value(JsonGenerator g, Asked a) throws IOException {
-        switch (a.kind()) {
-            case TEXT, DIRECTORY -> text(g);
+    private static void value(JsonGenerator json, KeyDeclaration key) throws IOException {
+        switch (key.kind()) {
+            case TEXT, DIRECTORY -> text(json);
             case ADDRESS -> {
-                g.writeStringField("type", "string");
-                g.writeStringField("pattern", ADDRESS);
+                json.writeStringField("type", "string");
+                json.writeStringField("pattern", ADDRESS);
             }
             case WHOLE, NUMBER -> {
-                boolean whole = a.kind() == ConfigNode.Kind.WHOLE;
-                g.writeStringField("type", whole ? "integer" : "number");
-                bound(g, "minimum", a.least(), whole);
-                bound(g, "maximum", a.most(), whole);
+                boolean whole = key.kind() == ConfigNode.Kind.WHOLE;
+                json.writeStringField("type", whole ? "integer" : "number");
+                bound(json, "minimum", key.least(), whole);
+                bound(json, "maximum", key.most(), whole);
             }
-            case FLAG -> g.writeStringField("type", "boolean");
+            case FLAG -> json.writeStringField("type", "boolean");
             case WORD -> {
-                g.writeArrayFieldStart("enum");
-                for (String each : a.words()) {
-                    g.writeString(each);
+                json.writeArrayFieldStart("enum");
+                for (String each : key.words()) {
+                    json.writeString(each);
                 }
-                g.writeEndArray();
+                json.writeEndArray();
             }
             case NUMBERS -> {
-                g.writeStringField("type", "array");
-                g.writeObjectFieldStart("items");
-                g.writeStringField("type", "number");
-                g.writeEndObject();
+                json.writeStringField("type", "array");
+                json.writeObjectFieldStart("items");
+                json.writeStringField("type", "number");
+                json.writeEndObject();
             }
-            case OBJECT -> object(g, a.child());
-            case OBJECTS -> {
-                if (a.words() != null) {
-                    g.writeArrayFieldStart("anyOf");
-                    g.writeStartObject();
-                    g.writeStringField("const", a.words().get(0));
-                    g.writeEndObject();
-                    g.writeStartObject();
-                }
-                g.writeStringField("type", "array");
-                g.writeObjectFieldStart("items");
-                object(g, a.child());
-                g.writeEndObject();
-                if (a.words() != null) {
-                    g.writeEndObject();
-                    g.writeEndArray();
-                }
-            }
-            default -> throw new IllegalStateException(a.kind().name());
+            case OBJECT -> object(json, key.child());
+            case OBJECTS -> objects(json, key);
+            default -> throw new IllegalStateException(key.kind().name());
         }
-        if (a.otherwise() != null) {
-            g.writeFieldName("default");
-            if (a.otherwise() instanceof Boolean b) {
-                g.writeBoolean(b);
-            } else if (a.otherwise() instanceof Number n) {
-                number(g, n.doubleValue(), a.kind() == ConfigNode.Kind.WHOLE);
+        defaultValue(json, key);
+    }
+
+    /** A list of objects, or the one word that may stand in its place. */
+    private static void objects(JsonGenerator json, KeyDeclaration key) throws IOException {
+        if (key.words() != null) {
+            json.writeArrayFieldStart("anyOf");
+            json.writeStartObject();
+            json.writeStringField("const", key.words().get(0));
+            json.writeEndObject();
+            json.writeStartObject();
+        }
+        json.writeStringField("type", "array");
+        json.writeObjectFieldStart("items");
+        object(json, key.child());
+        json.writeEndObject();
+        if (key.words() != null) {
+            json.writeEndObject();
+            json.writeEndArray();
+        }
+    }
+
+    private static void defaultValue(JsonGenerator json, KeyDeclaration key) throws IOException {
+        if (key.defaultValue() != null) {
+            json.writeFieldName("default");
+            if (key.defaultValue() instanceof Boolean flag) {
+                json.writeBoolean(flag);
+            } else if (key.defaultValue() instanceof Number number) {
+                number(json, number.doubleValue(), key.kind() == ConfigNode.Kind.WHOLE);
             } else {
-                g.writeString(a.otherwise().toString());
+                json.writeString(key.defaultValue().toString());
             }
         }
     }
 
-    private static void text(JsonGenerator g) throws IOException {
-        g.writeStringField("type", "string");
-        g.writeStringField("pattern", "\\S");
+    private static void text(JsonGenerator json) throws IOException {
+        json.writeStringField("type", "string");
+        json.writeStringField("pattern", "\\S");
     }
 
-    private static void bound(JsonGenerator g, String name, double value, boolean whole) throws IOException {
-        g.writeFieldName(name);
-        number(g, value, whole);
+    private static void bound(JsonGenerator json, String name, double value, boolean whole) throws IOException {
+        json.writeFieldName(name);
+        number(json, value, whole);
     }
 
-    private static void number(JsonGenerator g, double value, boolean whole) throws IOException {
+    private static void number(JsonGenerator json, double value, boolean whole) throws IOException {
         if (whole || value == Math.rint(value) && Math.abs(value) < 1e15) {
-            g.writeNumber((long) value);
+            json.writeNumber((long) value);
         } else {
-            g.writeNumber(value);
+            json.writeNumber(value);
         }
     }
 }
