--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -10,8 +10,20 @@
 import java.util.Map;
 
 /**
- * What a platform node is told. The one place where PROXY_CONFIG and its companions are read, checked and
- * given defaults.
+ * The configuration of a platform node: the one place where PROXY_CONFIG and the other environment variables are
+ * read, checked and given defaults.
+ *
+ * @param name             the node's name
+ * @param listen           where clients are accepted
+ * @param discovery        where discovery is reached
+ * @param discoveryHost    the same as written in the configuration, for the Host header
+ * @param console          the admin endpoint, or null for none
+ * @param state            the state directory, or null for none
+ * @param seed             of the dispatcher's random draws
+ * @param sockets          the most connections that the node may hold
+ * @param known            the endpoint list to start with, until discovery has answered
+ * @param options          the settings of the dispatcher and the engine
+ * @param connectTimeoutNs how long connecting to a worker may take, in nanoseconds
  */
 public record NodeConfig(
         String name,
@@ -28,20 +40,27 @@
     private static final Logger LOG = System.getLogger(NodeConfig.class.getName());
     private static final long DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000L;
 
-    /** By the environment: the file that PROXY_CONFIG names, and the other variables in its stead. */
+    /**
+     * Reads the configuration at the start of the process: the file that PROXY_CONFIG names, if any, then the other
+     * variables, which replace what stands in the file; TMPDIR only fills a gap.
+     *
+     * @throws ConfigException if a key is missing, wrong or misspelt, or the file cannot be read
+     */
     public static NodeConfig of(Map<String, String> environment) throws ConfigException {
         return of(environment, false);
     }
 
     /**
-     * The same again while the node runs. PROXY_DISCOVERY told where discovery was at the start; a file
-     * that is written later and names an address knows better.
+     * Reads the configuration again while the node runs. PROXY_DISCOVERY gives the address at the start only: here
+     * an address in the file, which is newer, goes first.
+     *
+     * @throws ConfigException as at the start
      */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         return of(environment, true);
     }
 
-    private static NodeConfig of(Map<String, String> environment, boolean again) throws ConfigException {
+    private static NodeConfig of(Map<String, String> environment, boolean reload) throws ConfigException {
         Map<Object, Object> values = new HashMap<>();
         String file = environment.get("PROXY_CONFIG");
         if (file != null) {
@@ -50,10 +69,10 @@
         put(values, "name", environment.get("PROXY_NAME"));
         put(values, "listen", environment.get("PROXY_LISTEN"));
         put(values, "console", environment.get("PROXY_CONSOLE"));
-        if (values.get("state_dir") == null) { // TMPDIR is not ours alone: the file's word goes first
+        if (values.get("state_dir") == null) { // TMPDIR is set for other purposes too: the file goes first
             put(values, "state_dir", environment.get("TMPDIR"));
         }
-        if (!again || values.get("discovery") == null) {
+        if (!reload || values.get("discovery") == null) {
             put(values, "discovery", environment.get("PROXY_DISCOVERY"));
         }
         return of(new ConfigNode("", values));
@@ -65,16 +84,20 @@
         }
     }
 
-    /** A file with one JSON object. */
+    /**
+     * Reads a file with one JSON object.
+     *
+     * @throws ConfigException if the file cannot be read or holds anything else
+     */
     public static ConfigNode read(String file) throws ConfigException {
-        byte[] text;
+        byte[] content;
         try {
-            text = Files.readAllBytes(Path.of(file));
+            content = Files.readAllBytes(Path.of(file));
         } catch (IOException | RuntimeException e) {
             throw new ConfigException(file, "cannot be read: " + e.getMessage());
         }
         try {
-            if (Json.parse(text, 0, text.length) instanceof Map<?, ?> map) {
+            if (Json.parse(content, 0, content.length) instanceof Map<?, ?> map) {
                 return new ConfigNode("", map);
             }
         } catch (IOException e) {
@@ -84,60 +107,65 @@
         throw new ConfigException(file, "must hold one object");
     }
 
-    public static NodeConfig of(ConfigNode c) throws ConfigException {
-        ConfigNode settings = c.object("settings");
+    /**
+     * Reads the configuration from parsed JSON. Unknown keys are logged, unless they look like misspelt ones.
+     *
+     * @throws ConfigException if a key is missing, wrong or misspelt
+     */
+    public static NodeConfig of(ConfigNode root) throws ConfigException {
+        ConfigNode settings = root.object("settings");
         check(settings);
-        ConfigNode limits = c.object("limits", Map.of());
+        ConfigNode limits = root.object("limits", Map.of());
         ConfigNode bounds = settings.object("Limits", Map.of());
-        limits.mayHave("cores", "memory_mb"); // for the platform to hold us to
-        c.mayHave("seed", "console", "state_dir");
+        limits.mayHave("cores", "memory_mb"); // enforced by the platform, not here
+        root.mayHave("seed", "console", "state_dir");
         NodeConfig config = new NodeConfig(
-                c.text("name", "node"),
-                c.address("listen", null),
-                c.address("discovery", null),
-                c.text("discovery"),
-                c.has("console") ? c.address("console", null) : null,
-                c.directory("state_dir"),
-                seed(c),
+                root.text("name", "node"),
+                root.address("listen", null),
+                root.address("discovery", null),
+                root.text("discovery"),
+                root.has("console") ? root.address("console", null) : null,
+                root.directory("state_dir"),
+                seed(root),
                 (int) limits.whole("sockets", 32, 1 << 20, 1024),
-                MemberList.of(c.object("known", Map.of())),
+                MemberList.of(root.object("known", Map.of())),
                 ModuleOptions.of(settings.values()),
                 bounds.whole("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
-        others(c);
-        others(limits);
+        checkUnknownKeys(root);
+        checkUnknownKeys(limits);
         return config;
     }
 
     /**
-     * The platform writes this file and may add to it, so a key of its own is only told of; one that is a
-     * letter or two from one of ours was meant for us, and would be passed over for ever.
+     * The platform writes this file and may add keys of its own, so an unknown key is only logged; but one that is
+     * nearly a known key is an error, since its setting would be ignored unnoticed.
      */
-    private static void others(ConfigNode c) throws ConfigException {
-        for (Map.Entry<String, String> each : c.others().entrySet()) {
+    private static void checkUnknownKeys(ConfigNode node) throws ConfigException {
+        for (Map.Entry<String, String> each : node.others().entrySet()) {
             if (each.getValue() != null) {
-                throw c.unknown(each.getKey(), each.getValue());
+                throw node.unknown(each.getKey(), each.getValue());
             }
-            LOG.log(Level.WARNING, "the configuration's key " + c.path(each.getKey()) + " is not known here");
+            LOG.log(Level.WARNING, "unknown configuration key ignored key=" + node.path(each.getKey()));
         }
     }
 
-    /** The address as a word, for names of files. */
+    /** The address that clients are accepted at, in a form that is valid in file names. */
     public String address() {
         return listen.getAddress().getHostAddress().replace(':', '-') + "-" + listen.getPort();
     }
 
-    private static long seed(ConfigNode c) throws ConfigException {
-        if (c.values().get("seed") instanceof Number n) {
-            return n.longValue();
+    private static long seed(ConfigNode root) throws ConfigException {
+        if (root.values().get("seed") instanceof Number number) {
+            return number.longValue();
         }
         try {
-            return Long.parseUnsignedLong(c.text("seed", "0"), 16);
+            return Long.parseUnsignedLong(root.text("seed", "0"), 16);
         } catch (NumberFormatException e) {
-            throw c.wrong("seed", "must be up to 16 hexadecimal digits");
+            throw root.wrong("seed", "must be up to 16 hexadecimal digits");
         }
     }
 
-    /** What the module cannot do without, or would take for something else. */
+    /** Checks settings of the dispatcher that it needs, or would take for something else if they were wrong. */
     private static void check(ConfigNode settings) throws ConfigException {
         if (settings.objects("Classes").isEmpty()) {
             throw settings.wrong("Classes", "must name at least one class");
