--- a/src/main/java/beechseam/config/ConfigException.java
+++ b/src/main/java/beechseam/config/ConfigException.java
@@ -1,20 +1,19 @@
 package beechseam.config;
 
-/**
- * A configuration that cannot be used; the message names the file, where there is one, and the faulty key.
- */
+/** An invalid configuration; the message names the file, if there is one, and the key. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** A fault at a key or file: {@code problem} is the rest of the sentence. */
     public ConfigException(String key, String problem) {
         super(key + ": " + problem);
     }
 
-    private ConfigException(String whole) {
-        super(whole);
+    private ConfigException(String message) {
+        super(message);
     }
 
-    /** The same with the file that it is about, unless it names it already. */
+    /** This exception with the file's name in the message, unless it has it already. */
     public ConfigException in(String file) {
         return getMessage().startsWith(file + ": ") ? this : new ConfigException(file + ": " + getMessage());
     }
--- a/src/main/java/beechseam/config/ConfigNode.java
+++ b/src/main/java/beechseam/config/ConfigNode.java
@@ -1,258 +1,299 @@
 package beechseam.config;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * An object of a configuration, read with checks and defaults; every complaint names the key by its path. It
- * notes what it was asked for, so that a key that nobody asked for is found, and a schema can be made of what
- * is asked.
+ * An object of a configuration, read with validation and defaults; every error names the key by its path. Each
+ * read declares its key, so that unknown keys can be rejected and a schema can be generated from the
+ * declarations. Keys are declared in the order of the first read.
  */
 public final class ConfigNode {
-    /** What a key must be. */
-    enum Kind {
-        TEXT,
-        WHOLE,
-        NUMBER,
-        FLAG,
-        WORD,
-        DIRECTORY,
-        ADDRESS,
-        OBJECT,
-        NUMBERS,
-        OBJECTS
-    }
-
-    /**
-     * What was asked of a key: its bounds if it is a number, its words if it is one of some, the word that
-     * may stand in place of a list; {@code child} is the last object read of it, null for other kinds.
-     */
-    record Asked(
-            Kind kind,
-            boolean required,
-            Object otherwise,
-            double least,
-            double most,
-            List<String> words,
-            ConfigNode child) {}
-
-    /** Words further apart than this share of their length are not taken for one misspelt. */
-    private static final double LIKE = 0.5;
-    /** And no further than this, where the other may as well be somebody else's word. */
-    private static final double MISSPELT = 0.25;
+    /** Integers below this are formatted without a fraction. */
+    private static final double MAX_EXACT_INTEGER = 1e15;
 
     private final String path;
     private final Map<?, ?> values;
-    private final Map<String, Asked> asked = new LinkedHashMap<>();
+    private final Map<String, KeySchema> keys = new LinkedHashMap<>();
 
+    /**
+     * @param path where the object is in its document; empty for the root
+     * @param values the object's members by key
+     */
     public ConfigNode(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
 
-    Map<String, Asked> asked() {
-        return asked;
+    /** Declarations by key, in the order of the first read. */
+    Map<String, KeySchema> keys() {
+        return keys;
     }
 
-    private void note(
-            String key, Kind kind, Object otherwise, double least, double most, List<String> words, ConfigNode child) {
-        Asked before = asked.get(key);
-        if (before == null || child != null) {
-            asked.put(key, new Asked(kind, before != null && before.required, otherwise, least, most, words, child));
+    private void declare(
+            String key,
+            KeySchema.Kind kind,
+            Object defaultValue,
+            double minimum,
+            double maximum,
+            List<String> choices,
+            ConfigNode child) {
+        KeySchema declared = keys.get(key);
+        if (declared == null || child != null) {
+            keys.put(
+                    key,
+                    new KeySchema(
+                            kind,
+                            declared != null && declared.required(),
+                            defaultValue,
+                            minimum,
+                            maximum,
+                            choices,
+                            child));
         }
     }
 
-    private void note(String key, Kind kind, Object otherwise) {
-        note(key, kind, otherwise, 0, 0, null, null);
+    private void declare(String key, KeySchema.Kind kind, Object defaultValue) {
+        declare(key, kind, defaultValue, 0, 0, null, null);
     }
 
-    private void require(String key, Kind kind) throws ConfigException {
-        asked.put(key, new Asked(kind, true, null, 0, 0, null, null));
+    private void declareRequired(String key, KeySchema.Kind kind) throws ConfigException {
+        keys.put(key, new KeySchema(kind, true, null, 0, 0, null, null));
         if (!has(key)) {
             throw missing(key);
         }
     }
 
-    /** Complains of a key that was not asked for, with the nearest of those that were. */
-    public void noOthers() throws ConfigException {
+    /**
+     * Rejects keys that have not been declared.
+     *
+     * @throws ConfigException for the first unknown key, with the nearest declared one as a suggestion
+     */
+    public void rejectUnknownKeys() throws ConfigException {
         for (Object each : values.keySet()) {
-            if (!asked.containsKey(each)) {
-                throw unknown(each.toString(), nearest(each.toString(), LIKE));
+            if (!keys.containsKey(each)) {
+                throw unknownKey(each.toString(), KeySuggestion.forUnknownKey(each.toString(), keys.keySet()));
             }
         }
     }
 
-    /** Keys that may stand here though nothing is asked of them by their name. */
-    public void mayHave(String... keys) {
+    /** Declares keys that are permitted, but not read here. */
+    public void allowKeys(String... keys) {
         for (String each : keys) {
-            note(each, Kind.TEXT, null);
+            declare(each, KeySchema.Kind.TEXT, null);
         }
     }
 
     /**
-     * Keys that were not asked for, each with one of which it is a misspelling, or null where it is of none.
+     * Keys that have not been declared, each with the declared key of which it is a typo, or null if there is
+     * none.
      */
-    public Map<String, String> others() {
-        Map<String, String> others = new LinkedHashMap<>();
+    public Map<String, String> unknownKeys() {
+        Map<String, String> unknown = new LinkedHashMap<>();
         for (Object each : values.keySet()) {
-            if (!asked.containsKey(each)) {
-                others.put(each.toString(), nearest(each.toString(), MISSPELT));
+            if (!keys.containsKey(each)) {
+                unknown.put(each.toString(), KeySuggestion.forTypo(each.toString(), keys.keySet()));
             }
         }
-        return others;
-    }
-
-    private String nearest(String key, double share) {
-        String best = null;
-        int least = (int) Math.max(1, key.length() * share) + 1;
-        for (String each : asked.keySet()) {
-            int distance = LevenshteinDistance.getDefaultInstance().apply(key.toLowerCase(), each.toLowerCase());
-            if (distance < least) {
-                least = distance;
-                best = each;
-            }
-        }
-        return best;
+        return unknown;
     }
 
+    /** Path of a key from the root, for messages. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
+    /** Whether the key is present and not null. */
     public boolean has(String key) {
         return values.get(key) != null;
     }
 
+    /** The members as parsed. */
     public Map<?, ?> values() {
         return values;
     }
 
-    public ConfigException wrong(String key, String problem) {
+    /** An error at the key, to be thrown by the caller; a scalar value is appended to the message. */
+    public ConfigException invalid(String key, String problem) {
         Object value = values.get(key);
-        boolean plain = value instanceof String || value instanceof Number || value instanceof Boolean;
-        return new ConfigException(path(key), plain ? problem + " (it is " + value + ")" : problem);
+        boolean scalar = value instanceof String || value instanceof Number || value instanceof Boolean;
+        return new ConfigException(path(key), scalar ? problem + " (it is " + value + ")" : problem);
     }
 
-    /** A key that nobody asks for; {@code near} is the one that was meant, or null where none is like it. */
-    ConfigException unknown(String key, String near) {
+    /** An error for an unknown key; {@code suggestion} is the key probably meant, or null if there is none. */
+    ConfigException unknownKey(String key, String suggestion) {
         return new ConfigException(
                 path(key),
                 "is not known here; "
-                        + (near == null
-                                ? "known are " + String.join(", ", asked.keySet())
-                                : "did you mean " + near + "?"));
+                        + (suggestion == null
+                                ? "known are " + String.join(", ", keys.keySet())
+                                : "did you mean " + suggestion + "?"));
     }
 
     private ConfigException missing(String key) {
-        return wrong(key, "is missing");
+        return invalid(key, "is missing");
     }
 
+    /**
+     * A required text.
+     *
+     * @throws ConfigException if it is missing, blank, or not a text
+     */
     public String text(String key) throws ConfigException {
-        require(key, Kind.TEXT);
+        declareRequired(key, KeySchema.Kind.TEXT);
         return text(key, null);
     }
 
-    public String text(String key, String otherwise) throws ConfigException {
-        note(key, Kind.TEXT, otherwise);
+    /**
+     * An optional text.
+     *
+     * @param defaultValue returned if the key is absent; may be null
+     * @throws ConfigException if it is blank or not a text
+     */
+    public String text(String key, String defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.TEXT, defaultValue);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof String s) || s.isBlank()) {
-            throw wrong(key, "must be a text that is not empty");
+        if (!(value instanceof String text) || text.isBlank()) {
+            throw invalid(key, "must be a text that is not empty");
         }
-        return s;
+        return text;
     }
 
-    /** A whole number within bounds. */
-    public long whole(String key, long least, long most, long otherwise) throws ConfigException {
-        note(key, Kind.WHOLE, otherwise, least, most, null, null);
-        double value = number(key, least, most, otherwise);
+    /**
+     * An integer within inclusive bounds.
+     *
+     * @throws ConfigException if it has a fraction, is out of bounds, or is not a number
+     */
+    public long integer(String key, long minimum, long maximum, long defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.INTEGER, defaultValue, minimum, maximum, null, null);
+        double value = number(key, minimum, maximum, defaultValue);
         if (value != Math.rint(value)) {
-            throw wrong(key, "must be a whole number");
+            throw invalid(key, "must be a whole number");
         }
-        return values.get(key) instanceof Number n ? n.longValue() : otherwise;
+        return values.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    public double number(String key, double least, double most, double otherwise) throws ConfigException {
-        note(key, Kind.NUMBER, otherwise, least, most, null, null);
+    /**
+     * A number within inclusive bounds.
+     *
+     * @throws ConfigException if it is out of bounds or not a number
+     */
+    public double number(String key, double minimum, double maximum, double defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.NUMBER, defaultValue, minimum, maximum, null, null);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            throw wrong(key, "must be a number from " + plain(least) + " to " + plain(most));
+        if (!(value instanceof Number number)
+                || !(number.doubleValue() >= minimum && number.doubleValue() <= maximum)) {
+            throw invalid(key, "must be a number from " + format(minimum) + " to " + format(maximum));
         }
-        return n.doubleValue();
+        return number.doubleValue();
     }
 
-    private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
-                ? Long.toString((long) value)
-                : Double.toString(value);
+    private static String format(double value) {
+        return isExactInteger(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    public boolean flag(String key, boolean otherwise) throws ConfigException {
-        note(key, Kind.FLAG, otherwise);
+    /** Whether the value has no fraction and is small enough to be formatted as an integer. */
+    static boolean isExactInteger(double value) {
+        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT_INTEGER;
+    }
+
+    /**
+     * A boolean.
+     *
+     * @throws ConfigException if it is neither true nor false
+     */
+    public boolean bool(String key, boolean defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.BOOLEAN, defaultValue);
         Object value = values.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!(value instanceof Boolean b)) {
-            throw wrong(key, "must be true or false");
+        if (!(value instanceof Boolean flag)) {
+            throw invalid(key, "must be true or false");
         }
-        return b;
+        return flag;
     }
 
-    public <E extends Enum<E>> E word(String key, Class<E> words, E otherwise) throws ConfigException {
-        List<String> known = java.util.Arrays.stream(words.getEnumConstants())
-                .map(e -> e.toString().toLowerCase())
+    /**
+     * A constant of an enum, by its {@code toString} regardless of case.
+     *
+     * @param defaultValue returned if the key is absent; may be null
+     * @throws ConfigException if the text is none of the constants
+     */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) throws ConfigException {
+        List<String> choices = Arrays.stream(type.getEnumConstants())
+                .map(each -> each.toString().toLowerCase())
                 .toList();
-        note(key, Kind.WORD, otherwise == null ? null : otherwise.toString().toLowerCase(), 0, 0, known, null);
+        declare(
+                key,
+                KeySchema.Kind.CHOICE,
+                defaultValue == null ? null : defaultValue.toString().toLowerCase(),
+                0,
+                0,
+                choices,
+                null);
         String value = text(key, null);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        for (E each : words.getEnumConstants()) {
+        for (E each : type.getEnumConstants()) {
             if (each.toString().equalsIgnoreCase(value)) {
                 return each;
             }
         }
-        throw wrong(
+        throw invalid(
                 key,
-                "must be one of " + List.of(words.getEnumConstants()).toString().toLowerCase());
+                "must be one of " + List.of(type.getEnumConstants()).toString().toLowerCase());
     }
 
-    /** A directory, or null where none is named; it is not looked for here. */
+    /**
+     * A directory, or null if the key is absent; its existence is not checked.
+     *
+     * @throws ConfigException if it is no valid path
+     */
     public Path directory(String key) throws ConfigException {
-        note(key, Kind.DIRECTORY, null);
+        declare(key, KeySchema.Kind.DIRECTORY, null);
         try {
             return has(key) ? Path.of(text(key, null)) : null;
         } catch (InvalidPathException e) {
-            throw wrong(key, "must be a path: " + e.getReason());
+            throw invalid(key, "must be a path: " + e.getReason());
         }
     }
 
-    /** An IP address and port; no names, since nothing here resolves them. */
-    public InetSocketAddress address(String key, String otherwise) throws ConfigException {
-        note(key, Kind.ADDRESS, otherwise);
-        String value = text(key, otherwise);
+    /**
+     * An IP address and port; host names are rejected, since they would have to be resolved.
+     *
+     * @param defaultValue default; null if the key is required
+     * @throws ConfigException if it is missing or malformed
+     */
+    public InetSocketAddress address(String key, String defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.ADDRESS, defaultValue);
+        String value = text(key, defaultValue);
         if (value == null) {
             throw missing(key);
         }
         InetSocketAddress address = address(value);
         if (address == null) {
-            throw wrong(key, "must be an IP address and port, such as 127.0.0.1:8081");
+            throw invalid(key, "must be an IP address and port, such as 127.0.0.1:8081");
         }
         return address;
     }
 
+    /** Parses an IP address and port; null if malformed. */
     static InetSocketAddress address(String value) {
         int colon = value.lastIndexOf(':');
         String host = colon < 0 ? "" : value.substring(0, colon);
@@ -261,66 +302,90 @@
         }
         try {
             int port = Integer.parseInt(value.substring(colon + 1));
-            return new InetSocketAddress(java.net.InetAddress.getByName(host), port);
-        } catch (IllegalArgumentException | java.net.UnknownHostException e) {
+            return new InetSocketAddress(InetAddress.getByName(host), port);
+        } catch (IllegalArgumentException | UnknownHostException e) {
             return null;
         }
     }
 
+    /**
+     * A required object.
+     *
+     * @throws ConfigException if it is missing or not an object
+     */
     public ConfigNode object(String key) throws ConfigException {
-        require(key, Kind.OBJECT);
+        declareRequired(key, KeySchema.Kind.OBJECT);
         return object(key, null);
     }
 
-    public ConfigNode object(String key, Map<?, ?> otherwise) throws ConfigException {
+    /**
+     * An optional object.
+     *
+     * @param defaultValue its members if the key is absent
+     * @throws ConfigException if it is not an object
+     */
+    public ConfigNode object(String key, Map<?, ?> defaultValue) throws ConfigException {
         Object value = values.get(key);
         if (value != null && !(value instanceof Map<?, ?>)) {
-            throw wrong(key, "must be an object");
+            throw invalid(key, "must be an object");
         }
-        ConfigNode child = new ConfigNode(path(key), value == null ? otherwise : (Map<?, ?>) value);
-        note(key, Kind.OBJECT, null, 0, 0, null, child);
+        ConfigNode child = new ConfigNode(path(key), value == null ? defaultValue : (Map<?, ?>) value);
+        declare(key, KeySchema.Kind.OBJECT, null, 0, 0, null, child);
         return child;
     }
 
-    /** Checks that a list, if there is one, holds numbers only. */
-    public void numbers(String key) throws ConfigException {
-        note(key, Kind.NUMBERS, null);
+    /**
+     * Validates an optional list of numbers.
+     *
+     * @throws ConfigException if it is not a list or has other elements
+     */
+    public void numberList(String key) throws ConfigException {
+        declare(key, KeySchema.Kind.NUMBER_LIST, null);
         Object value = values.get(key);
         if (value != null
                 && !(value instanceof List<?> list && list.stream().allMatch(each -> each instanceof Number))) {
-            throw wrong(key, "must be a list of numbers");
+            throw invalid(key, "must be a list of numbers");
         }
     }
 
-    /** The objects of a list; absent is empty. */
+    /**
+     * A list of objects; empty if the key is absent.
+     *
+     * @throws ConfigException if it is not a list or has other elements
+     */
     public List<ConfigNode> objects(String key) throws ConfigException {
         return objects(key, null);
     }
 
-    /** The same, or null where the word stands in the list's place. */
-    public List<ConfigNode> objects(String key, String word) throws ConfigException {
-        List<String> words = word == null ? null : List.of(word);
-        note(key, Kind.OBJECTS, null, 0, 0, words, null);
+    /**
+     * A list of objects, or null if the value is the wildcard.
+     *
+     * @param wildcard text permitted in place of the list; null for none
+     * @throws ConfigException if it is neither
+     */
+    public List<ConfigNode> objects(String key, String wildcard) throws ConfigException {
+        List<String> choices = wildcard == null ? null : List.of(wildcard);
+        declare(key, KeySchema.Kind.OBJECT_LIST, null, 0, 0, choices, null);
         Object value = values.get(key);
-        if (word != null && word.equals(value)) {
+        if (wildcard != null && wildcard.equals(value)) {
             return null;
         }
-        List<ConfigNode> all = new ArrayList<>();
+        List<ConfigNode> children = new ArrayList<>();
         if (value == null) {
-            return all;
+            return children;
         }
         if (!(value instanceof List<?> list)) {
-            throw wrong(key, "must be a list");
+            throw invalid(key, "must be a list");
         }
         for (Object each : list) {
-            String at = path(key) + "[" + all.size() + "]";
+            String childPath = path(key) + "[" + children.size() + "]";
             if (!(each instanceof Map<?, ?> map)) {
-                throw new ConfigException(at, "must be an object");
+                throw new ConfigException(childPath, "must be an object");
             }
-            ConfigNode child = new ConfigNode(at, map);
-            note(key, Kind.OBJECTS, null, 0, 0, words, child);
-            all.add(child);
+            ConfigNode child = new ConfigNode(childPath, map);
+            declare(key, KeySchema.Kind.OBJECT_LIST, null, 0, 0, choices, child);
+            children.add(child);
         }
-        return all;
+        return children;
     }
 }
--- a/src/main/java/beechseam/config/GearmanConfig.java
+++ b/src/main/java/beechseam/config/GearmanConfig.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 
 /**
- * The operator's file of the Gearman front, checked and with its defaults. Times are nanoseconds, sizes
+ * Configuration of the Gearman server, validated and with its defaults. Times are in nanoseconds, sizes in
  * bytes.
  */
 public record GearmanConfig(
@@ -31,8 +31,8 @@
         Map<String, Function> functions,
         Function anyFunction) {
     /**
-     * How a job was submitted, the most urgent first: each is a class of its own to the module, which puts
-     * worth before time, and a level of the line before it.
+     * How a job was submitted, the most urgent first: each is a job class of its own for the module, which
+     * orders by priority weight before time, and a level of the priority queues in front of it.
      */
     public enum Mode {
         HIGH(4, false),
@@ -42,9 +42,12 @@
         BACKGROUND(0.0625, true),
         LOW_BACKGROUND(0.015625, true);
 
-        /** Worth relative to the function's. */
+        private static final int PRIORITIES = 3;
+
+        /** Priority weight relative to the function's. */
         final double scale;
 
+        /** Whether the client does not wait for the result. */
         public final boolean background;
 
         Mode(double scale, boolean background) {
@@ -52,13 +55,13 @@
             this.background = background;
         }
 
-        /** Its priority whether in the background or not: 0 high, 1 normal, 2 low. */
+        /** Priority regardless of background: 0 high, 1 normal, 2 low. */
         public int priority() {
-            return ordinal() % 3;
+            return ordinal() % PRIORITIES;
         }
     }
 
-    /** Where workers of a client id are; {@code *} at the end stands for any rest. */
+    /** Location of the workers of a client id; a trailing {@code *} matches any suffix. */
     public record Place(String clientId, String zone, int cell) {
         boolean matches(String id) {
             return clientId.endsWith("*")
@@ -67,8 +70,9 @@
         }
     }
 
-    /** Jobs that may wait of a function, by priority. */
+    /** Limits of a function's queued jobs, by priority. */
     public record MaxQueue(int high, int normal, int low) {
+        /** The limit for this mode's priority. */
         public int of(Mode mode) {
             return switch (mode.priority()) {
                 case 0 -> high;
@@ -78,15 +82,21 @@
         }
     }
 
-    /** What is known of a function before it is used; {@code classes} are in the order of {@link Mode}. */
+    /** Configuration of a function; {@code classes} are in the order of {@link Mode}. */
     public record Function(List<JobClass> classes, MaxQueue maxQueue) {
+        /** The job class of this mode. */
         public JobClass of(Mode mode) {
             return classes.get(mode.ordinal());
         }
     }
 
     /**
-     * What may be held: {@code memory} in bytes over all workloads and results, {@code slots} jobs a worker.
+     * Resource limits.
+     *
+     * @param packet largest packet, in bytes
+     * @param memory all workloads and results, in bytes
+     * @param unread output buffered for a connection that does not read, in bytes
+     * @param slots jobs in flight per worker
      */
     public record Bounds(
             int packet,
@@ -99,7 +109,12 @@
             int slots,
             int targets) {}
 
-    /** Times and turns; {@code adminShutdown}: whether the admin line of that name is obeyed. */
+    /**
+     * Timeouts and queue scheduling; times in nanoseconds.
+     *
+     * @param ageingTurn every so many turns the oldest job goes first; 0 for never
+     * @param adminShutdown whether the admin command {@code shutdown} is permitted
+     */
     public record Turns(
             long grabTimeoutNs,
             int ageingTurn,
@@ -108,13 +123,22 @@
             long stallNs,
             boolean adminShutdown) {}
 
-    /** The name that stands for every function that has none of its own. */
+    /** Wildcard: stands for every function that is not configured by its name. */
     public static final String ANY = "*";
 
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final long DRAIN_GRACE_NS = 300 * NANOS_PER_MS;
+    /** Largest configurable time, a week in milliseconds. */
     private static final long MAX_MS = 7L * 24 * 3600 * 1000;
-    private static final int MB = 1024 * 1024;
 
+    private static final int BYTES_PER_KB = 1024;
+    private static final int BYTES_PER_MB = 1024 * 1024;
+
+    /**
+     * Reads a configuration file.
+     *
+     * @throws ConfigException if the file cannot be read or is invalid; the message names the file
+     */
     public static GearmanConfig read(String file) throws ConfigException {
         try {
             return of(NodeConfig.read(file));
@@ -123,10 +147,10 @@
         }
     }
 
-    /** What a server without a file does: any function, on the loopback address and the well-known port. */
+    /** The configuration without a file: any function, on the loopback address and the well-known port. */
     public static GearmanConfig usual() {
         try {
-            // A job waits for a worker for an hour, as one would expect of a queue, and not for a minute.
+            // A job queues for up to an hour, as users of a job queue expect, and not for a minute.
             return of(new ConfigNode(
                     "",
                     Map.of(
@@ -147,7 +171,7 @@
         }
     }
 
-    /** A file with one of each that it can have, read: what was asked of it is its schema. */
+    /** A sample with one object in each list, after it has been read: its declared keys are the schema. */
     public static ConfigNode sample() {
         ConfigNode sample = new ConfigNode(
                 "", Map.of("functions", List.of(Map.of("name", "f")), "workers", List.of(Map.of("client_id", "w"))));
@@ -159,148 +183,173 @@
         return sample;
     }
 
-    /** Reads, checks, and complains of keys that nobody asked for. */
-    public static GearmanConfig of(ConfigNode c) throws ConfigException {
-        String zone = c.text("zone", "-");
+    /**
+     * Reads and validates a configuration; absent keys have their defaults.
+     *
+     * @throws ConfigException for the first fault or unknown key
+     */
+    public static GearmanConfig of(ConfigNode root) throws ConfigException {
+        // The order in which keys are read is that of the schema.
+        String zone = root.text("zone", "-");
+        List<Place> places = places(root, zone);
+        Map<String, Function> functions = functions(root);
+        DispatchLimits limits = limits(root);
+        Bounds bounds = bounds(root);
+        Turns turns = turns(root);
+        GearmanConfig config = new GearmanConfig(
+                root.address("listen", "127.0.0.1:4730"),
+                root.text("name", "beechseam"),
+                zone,
+                places,
+                bounds,
+                turns,
+                limits,
+                root.number("cross_zone_price", 0, 1, 0),
+                Map.copyOf(functions),
+                functions.get(ANY));
+        root.rejectUnknownKeys();
+        return config;
+    }
+
+    private static List<Place> places(ConfigNode root, String defaultZone) throws ConfigException {
         List<Place> places = new ArrayList<>();
-        for (ConfigNode each : c.objects("workers")) {
-            places.add(new Place(each.text("client_id"), each.text("zone", zone), (int)
-                    each.whole("cell", 0, Integer.MAX_VALUE, 0)));
-            each.noOthers();
+        for (ConfigNode each : root.objects("workers")) {
+            places.add(new Place(each.text("client_id"), each.text("zone", defaultZone), (int)
+                    each.integer("cell", 0, Integer.MAX_VALUE, 0)));
+            each.rejectUnknownKeys();
         }
-        Map<String, Function> functions = functions(c);
-        DispatchLimits limits = new DispatchLimits(
-                (int) c.whole("attempts", 1, 100, 6),
-                c.whole("retry_after_ms", 0, MAX_MS, 2000) * MS,
+        return List.copyOf(places);
+    }
+
+    private static DispatchLimits limits(ConfigNode root) throws ConfigException {
+        return new DispatchLimits(
+                (int) root.integer("attempts", 1, 100, 6),
+                root.integer("retry_after_ms", 0, MAX_MS, 2000) * NANOS_PER_MS,
                 true,
                 true,
                 false,
-                c.flag("copies", false),
+                root.bool("copies", false),
                 0);
-        int packet = (int) c.whole("max_packet_kb", 1, 1024 * 1024, 16 * 1024) * 1024;
-        int jobs = (int) c.whole("max_jobs", 1, 100_000_000, 1_000_000);
-        long memory = c.whole("max_memory_mb", 0, 1 << 20, 0) * MB; // 0: half of the heap
+    }
+
+    private static Bounds bounds(ConfigNode root) throws ConfigException {
+        int packet = (int) root.integer("max_packet_kb", 1, 1024 * 1024, 16 * 1024) * BYTES_PER_KB;
+        int jobs = (int) root.integer("max_jobs", 1, 100_000_000, 1_000_000);
+        long memory = root.integer("max_memory_mb", 0, 1 << 20, 0) * BYTES_PER_MB; // 0: half of the heap
         memory = memory == 0 ? Runtime.getRuntime().maxMemory() / 2 : memory;
-        int perClient = (int) c.whole("max_jobs_per_client", 0, 100_000_000, 0); // 0: as many as there may be
-        int unread = (int) c.whole("max_unread_kb", 64, 1024 * 1024, 16 * 1024) * 1024;
-        Bounds bounds = new Bounds(
+        int perClient = (int) root.integer("max_jobs_per_client", 0, 100_000_000, 0); // 0: no limit of its own
+        int unread = (int) root.integer("max_unread_kb", 64, 1024 * 1024, 16 * 1024) * BYTES_PER_KB;
+        return new Bounds(
                 packet,
                 memory,
                 unread,
-                (int) c.whole("max_connections", 1, 1_000_000, 4096),
+                (int) root.integer("max_connections", 1, 1_000_000, 4096),
                 jobs,
                 perClient == 0 ? jobs : perClient,
-                (int) c.whole("max_functions", 1, 1_000_000, 1000),
-                (int) c.whole("worker_slots", 1, 10_000, 16),
-                (int) c.whole("max_targets", 1, 10_000, 48));
-        Turns turns = new Turns(
-                c.whole("grab_timeout_ms", 1, MAX_MS, 1000) * MS,
-                (int) c.whole("ageing_turn", 0, 1_000_000, 16),
-                c.whole("ageing_ms", 0, MAX_MS, 10_000) * MS,
-                c.whole("stop_within_ms", 0, MAX_MS, 10_000) * MS,
-                c.whole("stall_ms", 100, MAX_MS, 30_000) * MS,
-                c.flag("admin_shutdown", true));
-        GearmanConfig config = new GearmanConfig(
-                c.address("listen", "127.0.0.1:4730"),
-                c.text("name", "beechseam"),
-                zone,
-                List.copyOf(places),
-                bounds,
-                turns,
-                limits,
-                c.number("cross_zone_price", 0, 1, 0),
-                Map.copyOf(functions),
-                functions.get(ANY));
-        c.noOthers();
-        return config;
+                (int) root.integer("max_functions", 1, 1_000_000, 1000),
+                (int) root.integer("worker_slots", 1, 10_000, 16),
+                (int) root.integer("max_targets", 1, 10_000, 48));
+    }
+
+    private static Turns turns(ConfigNode root) throws ConfigException {
+        return new Turns(
+                root.integer("grab_timeout_ms", 1, MAX_MS, 1000) * NANOS_PER_MS,
+                (int) root.integer("ageing_turn", 0, 1_000_000, 16),
+                root.integer("ageing_ms", 0, MAX_MS, 10_000) * NANOS_PER_MS,
+                root.integer("stop_within_ms", 0, MAX_MS, 10_000) * NANOS_PER_MS,
+                root.integer("stall_ms", 100, MAX_MS, 30_000) * NANOS_PER_MS,
+                root.bool("admin_shutdown", true));
     }
 
-    private static Map<String, Function> functions(ConfigNode c) throws ConfigException {
+    private static Map<String, Function> functions(ConfigNode root) throws ConfigException {
         Map<String, Function> functions = new LinkedHashMap<>();
-        List<ConfigNode> named = c.objects("functions", ANY);
-        if (named == null) {
+        List<ConfigNode> nodes = root.objects("functions", ANY);
+        if (nodes == null) {
             functions.put(ANY, function(new ConfigNode("functions", Map.of()), ANY));
             return functions;
         }
-        for (ConfigNode each : named) {
+        for (ConfigNode each : nodes) {
             String name = each.text("name");
             if (functions.put(name, function(each, name)) != null) {
-                throw each.wrong("name", "is there twice: " + name);
+                throw each.invalid("name", "is there twice: " + name);
             }
-            each.noOthers();
+            each.rejectUnknownKeys();
         }
         if (functions.isEmpty()) {
-            throw c.wrong("functions", "must be \"*\" or name at least one function");
+            throw root.invalid("functions", "must be \"*\" or name at least one function");
         }
         return functions;
     }
 
-    private static Function function(ConfigNode f, String name) throws ConfigException {
-        long deadline = f.whole("deadline_ms", 10, MAX_MS, 60_000) * MS;
-        long background = f.whole("background_deadline_ms", 10, MAX_MS, 3_600_000) * MS;
-        // The module takes a run to last the aim until it knows better, so the aim leaves room for a wait.
-        long aim = f.whole("aim_ms", 0, MAX_MS, 0) * MS; // 0: a quarter of the deadline
-        aim = aim == 0 ? Math.max(MS, deadline / 4) : aim;
-        double stretch = f.number("stretch", 0, 1000, 1);
-        double worth = f.number("worth", 0.001, 1e9, 1);
-        // Worth a lot after its aim: a Gearman job waits for a worker until its client gives up.
-        double late = f.number("late_worth", 0, 1, 0.9);
-        Idempotency effect = f.word("effect", Idempotency.class, Idempotency.NON_IDEMPOTENT);
-        DeduplicationScope group = f.word("group", DeduplicationScope.class, DeduplicationScope.CELL);
-        long window = f.whole("window_ms", 0, MAX_MS, 0) * MS;
-        if (effect == Idempotency.KEYED && window == 0) {
-            throw f.wrong("window_ms", "must be set for a keyed function");
+    private static Function function(ConfigNode node, String name) throws ConfigException {
+        long deadline = node.integer("deadline_ms", 10, MAX_MS, 60_000) * NANOS_PER_MS;
+        long background = node.integer("background_deadline_ms", 10, MAX_MS, 3_600_000) * NANOS_PER_MS;
+        // The module expects a run to last the objective until it has measured some, so this leaves time to queue.
+        long objective = node.integer("aim_ms", 0, MAX_MS, 0) * NANOS_PER_MS; // 0: a quarter of the deadline
+        objective = objective == 0 ? Math.max(NANOS_PER_MS, deadline / 4) : objective;
+        double stretch = node.number("stretch", 0, 1000, 1);
+        double weight = node.number("worth", 0.001, 1e9, 1);
+        // High: a Gearman job is worth running until its client gives up.
+        double lateWeight = node.number("late_worth", 0, 1, 0.9);
+        Idempotency idempotency = node.choice("effect", Idempotency.class, Idempotency.NON_IDEMPOTENT);
+        DeduplicationScope scope = node.choice("group", DeduplicationScope.class, DeduplicationScope.CELL);
+        long window = node.integer("window_ms", 0, MAX_MS, 0) * NANOS_PER_MS;
+        if (idempotency == Idempotency.KEYED && window == 0) {
+            throw node.invalid("window_ms", "must be set for a keyed function");
         }
-        ConfigNode most = f.object("max_queue", Map.of());
-        MaxQueue maxQueue = new MaxQueue(
-                (int) most.whole("high", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
-                (int) most.whole("normal", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
-                (int) most.whole("low", 0, Integer.MAX_VALUE, Integer.MAX_VALUE));
-        most.noOthers();
+        MaxQueue maxQueue = maxQueue(node);
         List<JobClass> classes = new ArrayList<>();
         for (Mode mode : Mode.values()) {
-            long modeAim = mode.background ? background / 4 : aim;
-            long modeDeadline = mode.background ? background : deadline;
             classes.add(new JobClass(
                     mode.name(),
-                    modeAim,
-                    modeDeadline,
+                    mode.background ? background / 4 : objective,
+                    mode.background ? background : deadline,
                     stretch,
-                    worth * mode.scale,
-                    late,
-                    effect,
-                    group,
+                    weight * mode.scale,
+                    lateWeight,
+                    idempotency,
+                    scope,
                     window,
                     name));
         }
         return new Function(List.copyOf(classes), maxQueue);
     }
 
-    /** What is known of a function by that name; null when this server does not serve it. */
+    private static MaxQueue maxQueue(ConfigNode function) throws ConfigException {
+        ConfigNode limits = function.object("max_queue", Map.of());
+        MaxQueue maxQueue = new MaxQueue(
+                (int) limits.integer("high", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
+                (int) limits.integer("normal", 0, Integer.MAX_VALUE, Integer.MAX_VALUE),
+                (int) limits.integer("low", 0, Integer.MAX_VALUE, Integer.MAX_VALUE));
+        limits.rejectUnknownKeys();
+        return maxQueue;
+    }
+
+    /** The configuration of a function; null if this server does not serve it. */
     public Function function(String name) {
         return functions.getOrDefault(name, anyFunction);
     }
 
     /**
-     * What the module of one function is told: its classes by {@link Mode}, run by workers of that kind
-     * alone.
+     * Settings of a function's dispatch module: its job classes by {@link Mode}, restricted to workers of this
+     * function.
      */
-    public DispatchSettings settings(String name, Function f) {
-        List<JobClass> classes = f.classes().stream()
-                .map(c -> new JobClass(
-                        c.name(),
-                        c.latencyObjectiveNs(),
-                        c.deadlineNs(),
-                        c.stretch(),
-                        c.priorityWeight(),
-                        c.lateWeight(),
-                        c.idempotency(),
-                        c.deduplicationScope(),
-                        c.idempotencyWindowNs(),
+    public DispatchSettings settings(String name, Function function) {
+        List<JobClass> classes = function.classes().stream()
+                .map(each -> new JobClass(
+                        each.name(),
+                        each.latencyObjectiveNs(),
+                        each.deadlineNs(),
+                        each.stretch(),
+                        each.priorityWeight(),
+                        each.lateWeight(),
+                        each.idempotency(),
+                        each.deduplicationScope(),
+                        each.idempotencyWindowNs(),
                         name))
                 .toList();
-        // Gearman's workers say nothing of their start or load, so there is no cold budget to keep.
-        WorkerRules rules = new WorkerRules(300 * MS, Long.MAX_VALUE, 1, 0, 1, 0, false);
+        // Workers of Gearman report neither their start nor their load, so there is no slow start.
+        WorkerRules rules = new WorkerRules(DRAIN_GRACE_NS, Long.MAX_VALUE, 1, 0, 1, 0, false);
         return new DispatchSettings(
                 classes,
                 limits,
@@ -318,6 +367,7 @@
                 false);
     }
 
+    /** Location of the worker with this client id: the first entry that matches, else the server's zone. */
     public Place place(String clientId) {
         for (Place each : places) {
             if (each.matches(clientId)) {
@@ -327,7 +377,7 @@
         return new Place(clientId, zone, 0);
     }
 
-    /** Zones that the file names. */
+    /** All zones in the configuration. */
     public Set<String> zones() {
         Set<String> zones = new HashSet<>(Set.of(zone));
         places.forEach(each -> zones.add(each.zone()));
--- a/src/main/java/beechseam/config/Json.java
+++ b/src/main/java/beechseam/config/Json.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -14,29 +15,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON values as maps, lists, numbers, strings and booleans. */
+/** Reads and writes JSON values as maps, lists, numbers, strings and booleans. */
 public final class Json {
+    /** Shared factory of parsers and generators. */
     public static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** One whole document; a fault in it is told with its place, in bytes from the start. */
+    /**
+     * Parses a document.
+     *
+     * @throws IOException if it is not JSON; the message gives the position in bytes from the start
+     */
     public static Object parse(byte[] text, int from, int length) throws IOException {
-        try (JsonParser in = FACTORY.createParser(text, from, length)) {
-            if (in.nextToken() == null) {
+        try (JsonParser parser = FACTORY.createParser(text, from, length)) {
+            if (parser.nextToken() == null) {
                 throw new IOException("an empty document");
             }
-            return tree(in);
+            return tree(parser);
         } catch (JsonProcessingException e) {
             throw new IOException(
                     e.getOriginalMessage() + " at byte " + e.getLocation().getByteOffset(), e);
         }
     }
 
-    /** Lists of figures by name. */
+    /** Serializes an object whose members are arrays of numbers. */
     public static byte[] bytes(Map<String, double[]> lists) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator json = FACTORY.createGenerator(out)) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        try (JsonGenerator json = FACTORY.createGenerator(buffer)) {
             json.writeStartObject();
             for (Map.Entry<String, double[]> each : lists.entrySet()) {
                 json.writeFieldName(each.getKey());
@@ -44,22 +50,22 @@
             }
             json.writeEndObject();
         }
-        return out.toByteArray();
+        return buffer.toByteArray();
     }
 
-    /** Writes a file that holds a list of objects, each a row of figures and words by name. */
+    /** Writes a file with an array of objects, whose members are numbers, booleans or texts. */
     public static void rows(Path file, List<? extends Map<String, ?>> rows) throws IOException {
-        try (OutputStream out = Files.newOutputStream(file);
-                JsonGenerator json = FACTORY.createGenerator(out)) {
+        try (OutputStream stream = Files.newOutputStream(file);
+                JsonGenerator json = FACTORY.createGenerator(stream)) {
             json.useDefaultPrettyPrinter().writeStartArray();
             for (Map<String, ?> row : rows) {
                 json.writeStartObject();
                 for (Map.Entry<String, ?> each : row.entrySet()) {
                     json.writeFieldName(each.getKey());
-                    if (each.getValue() instanceof Number n) {
-                        json.writeNumber(n.doubleValue());
-                    } else if (each.getValue() instanceof Boolean b) {
-                        json.writeBoolean(b);
+                    if (each.getValue() instanceof Number number) {
+                        json.writeNumber(number.doubleValue());
+                    } else if (each.getValue() instanceof Boolean flag) {
+                        json.writeBoolean(flag);
                     } else {
                         json.writeString(each.getValue().toString());
                     }
@@ -70,27 +76,27 @@
         }
     }
 
-    /** The value at the parser. */
-    public static Object tree(JsonParser in) throws IOException {
-        switch (in.currentToken()) {
+    /** Reads the value at the parser's current token. */
+    public static Object tree(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new HashMap<>();
-                while (in.nextToken() == com.fasterxml.jackson.core.JsonToken.FIELD_NAME) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    map.put(name, tree(in));
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, tree(parser));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (in.nextToken() != com.fasterxml.jackson.core.JsonToken.END_ARRAY) {
-                    list.add(tree(in));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(tree(parser));
                 }
                 return list;
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return in.getNumberValue();
+                return parser.getNumberValue();
             }
             case VALUE_TRUE -> {
                 return true;
@@ -102,7 +108,7 @@
                 return null;
             }
             default -> {
-                return in.getText();
+                return parser.getText();
             }
         }
     }
--- a/src/main/java/beechseam/config/JsonSchema.java
+++ b/src/main/java/beechseam/config/JsonSchema.java
@@ -1,6 +1,5 @@
 package beechseam.config;
 
-import beechseam.config.ConfigNode.Asked;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -8,127 +7,137 @@
 import java.util.Map;
 
 /**
- * A JSON Schema (draft 2020-12) of what the program asks of a configuration: made of a sample that it has
- * read.
+ * Generates a JSON Schema (draft 2020-12) of a configuration from the keys that its reader has declared on a
+ * sample.
  */
 public final class JsonSchema {
-    private static final String ADDRESS = "^(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]):\\d{1,5}$";
+    private static final String DRAFT = "https://json-schema.org/draft/2020-12/schema";
+    private static final String NOT_BLANK_PATTERN = "\\S";
+    private static final String ADDRESS_PATTERN = "^(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]):\\d{1,5}$";
 
     private JsonSchema() {}
 
     /**
-     * The schema as indented JSON with a line end. {@code sample} has been read and has an object of each
-     * kind.
+     * The schema as indented JSON with a trailing newline.
+     *
+     * @param sample a configuration that has been read and has at least one object in each list
+     * @param title title of the schema
      */
     public static String of(ConfigNode sample, String title) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator g = Json.FACTORY.createGenerator(text)) {
-            g.useDefaultPrettyPrinter().writeStartObject();
-            g.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
-            g.writeStringField("title", title);
-            object(g, sample);
-            g.writeEndObject();
+        try (JsonGenerator json = Json.FACTORY.createGenerator(text)) {
+            json.useDefaultPrettyPrinter().writeStartObject();
+            json.writeStringField("$schema", DRAFT);
+            json.writeStringField("title", title);
+            writeObject(json, sample);
+            json.writeEndObject();
         }
         return text + "\n";
     }
 
-    private static void object(JsonGenerator g, ConfigNode of) throws IOException {
-        g.writeStringField("type", "object");
-        g.writeBooleanField("additionalProperties", false);
-        List<String> required = of.asked().entrySet().stream()
-                .filter(e -> e.getValue().required())
+    private static void writeObject(JsonGenerator json, ConfigNode node) throws IOException {
+        json.writeStringField("type", "object");
+        json.writeBooleanField("additionalProperties", false);
+        List<String> required = node.keys().entrySet().stream()
+                .filter(each -> each.getValue().required())
                 .map(Map.Entry::getKey)
                 .toList();
         if (!required.isEmpty()) {
-            g.writeArrayFieldStart("required");
-            for (String each : required) {
-                g.writeString(each);
-            }
-            g.writeEndArray();
+            writeStrings(json, "required", required);
         }
-        g.writeObjectFieldStart("properties");
-        for (Map.Entry<String, Asked> each : of.asked().entrySet()) {
-            g.writeObjectFieldStart(each.getKey());
-            value(g, each.getValue());
-            g.writeEndObject();
+        json.writeObjectFieldStart("properties");
+        for (Map.Entry<String, KeySchema> each : node.keys().entrySet()) {
+            json.writeObjectFieldStart(each.getKey());
+            writeType(json, each.getValue());
+            writeDefault(json, each.getValue());
+            json.writeEndObject();
         }
-        g.writeEndObject();
+        json.writeEndObject();
     }
 
-    private static void value(JsonGenerator g, Asked a) throws IOException {
-        switch (a.kind()) {
-            case TEXT, DIRECTORY -> text(g);
-            case ADDRESS -> {
-                g.writeStringField("type", "string");
-                g.writeStringField("pattern", ADDRESS);
-            }
-            case WHOLE, NUMBER -> {
-                boolean whole = a.kind() == ConfigNode.Kind.WHOLE;
-                g.writeStringField("type", whole ? "integer" : "number");
-                bound(g, "minimum", a.least(), whole);
-                bound(g, "maximum", a.most(), whole);
-            }
-            case FLAG -> g.writeStringField("type", "boolean");
-            case WORD -> {
-                g.writeArrayFieldStart("enum");
-                for (String each : a.words()) {
-                    g.writeString(each);
-                }
-                g.writeEndArray();
-            }
-            case NUMBERS -> {
-                g.writeStringField("type", "array");
-                g.writeObjectFieldStart("items");
-                g.writeStringField("type", "number");
-                g.writeEndObject();
-            }
-            case OBJECT -> object(g, a.child());
-            case OBJECTS -> {
-                if (a.words() != null) {
-                    g.writeArrayFieldStart("anyOf");
-                    g.writeStartObject();
-                    g.writeStringField("const", a.words().get(0));
-                    g.writeEndObject();
-                    g.writeStartObject();
-                }
-                g.writeStringField("type", "array");
-                g.writeObjectFieldStart("items");
-                object(g, a.child());
-                g.writeEndObject();
-                if (a.words() != null) {
-                    g.writeEndObject();
-                    g.writeEndArray();
-                }
+    private static void writeType(JsonGenerator json, KeySchema key) throws IOException {
+        switch (key.kind()) {
+            case TEXT, DIRECTORY -> writeText(json, NOT_BLANK_PATTERN);
+            case ADDRESS -> writeText(json, ADDRESS_PATTERN);
+            case INTEGER, NUMBER -> writeNumberType(json, key);
+            case BOOLEAN -> json.writeStringField("type", "boolean");
+            case CHOICE -> writeStrings(json, "enum", key.choices());
+            case NUMBER_LIST -> {
+                json.writeStringField("type", "array");
+                json.writeObjectFieldStart("items");
+                json.writeStringField("type", "number");
+                json.writeEndObject();
             }
-            default -> throw new IllegalStateException(a.kind().name());
+            case OBJECT -> writeObject(json, key.child());
+            case OBJECT_LIST -> writeObjectListOrWildcard(json, key);
+            default -> throw new IllegalStateException(key.kind().name());
         }
-        if (a.otherwise() != null) {
-            g.writeFieldName("default");
-            if (a.otherwise() instanceof Boolean b) {
-                g.writeBoolean(b);
-            } else if (a.otherwise() instanceof Number n) {
-                number(g, n.doubleValue(), a.kind() == ConfigNode.Kind.WHOLE);
-            } else {
-                g.writeString(a.otherwise().toString());
-            }
+    }
+
+    private static void writeText(JsonGenerator json, String pattern) throws IOException {
+        json.writeStringField("type", "string");
+        json.writeStringField("pattern", pattern);
+    }
+
+    private static void writeNumberType(JsonGenerator json, KeySchema key) throws IOException {
+        boolean integer = key.kind() == KeySchema.Kind.INTEGER;
+        json.writeStringField("type", integer ? "integer" : "number");
+        json.writeFieldName("minimum");
+        writeNumber(json, key.minimum(), integer);
+        json.writeFieldName("maximum");
+        writeNumber(json, key.maximum(), integer);
+    }
+
+    private static void writeObjectListOrWildcard(JsonGenerator json, KeySchema key) throws IOException {
+        if (key.choices() == null) {
+            writeObjectList(json, key.child());
+            return;
         }
+        json.writeArrayFieldStart("anyOf");
+        json.writeStartObject();
+        json.writeStringField("const", key.choices().get(0));
+        json.writeEndObject();
+        json.writeStartObject();
+        writeObjectList(json, key.child());
+        json.writeEndObject();
+        json.writeEndArray();
     }
 
-    private static void text(JsonGenerator g) throws IOException {
-        g.writeStringField("type", "string");
-        g.writeStringField("pattern", "\\S");
+    private static void writeObjectList(JsonGenerator json, ConfigNode element) throws IOException {
+        json.writeStringField("type", "array");
+        json.writeObjectFieldStart("items");
+        writeObject(json, element);
+        json.writeEndObject();
     }
 
-    private static void bound(JsonGenerator g, String name, double value, boolean whole) throws IOException {
-        g.writeFieldName(name);
-        number(g, value, whole);
+    private static void writeDefault(JsonGenerator json, KeySchema key) throws IOException {
+        Object value = key.defaultValue();
+        if (value == null) {
+            return;
+        }
+        json.writeFieldName("default");
+        if (value instanceof Boolean flag) {
+            json.writeBoolean(flag);
+        } else if (value instanceof Number number) {
+            writeNumber(json, number.doubleValue(), key.kind() == KeySchema.Kind.INTEGER);
+        } else {
+            json.writeString(value.toString());
+        }
     }
 
-    private static void number(JsonGenerator g, double value, boolean whole) throws IOException {
-        if (whole || value == Math.rint(value) && Math.abs(value) < 1e15) {
-            g.writeNumber((long) value);
+    private static void writeNumber(JsonGenerator json, double value, boolean integer) throws IOException {
+        if (integer || ConfigNode.isExactInteger(value)) {
+            json.writeNumber((long) value);
         } else {
-            g.writeNumber(value);
+            json.writeNumber(value);
+        }
+    }
+
+    private static void writeStrings(JsonGenerator json, String field, List<String> values) throws IOException {
+        json.writeArrayFieldStart(field);
+        for (String each : values) {
+            json.writeString(each);
         }
+        json.writeEndArray();
     }
 }
--- a/src/main/java/beechseam/config/MemberList.java
+++ b/src/main/java/beechseam/config/MemberList.java
@@ -12,24 +12,31 @@
 import java.util.function.Consumer;
 
 /**
- * A list in discovery's form, as the network, the configuration and the importer have it.
+ * A list of servers in discovery's format, as used by the network, the configuration and the importer.
  *
- * @param version counted by discovery
- * @param full whether it is the whole list, or what has changed
- * @param servers its entries, in order
- * @param unusable ids of entries that made no sense, where they had one
+ * @param version version assigned by discovery
+ * @param full whether it is the full list, or a delta
+ * @param servers the valid entries, in order
+ * @param unusable ids of invalid entries, as far as they had one
  */
 public record MemberList(long version, boolean full, List<Server> servers, Set<String> unusable) {
+    private static final String STATE_READY = "SERVING";
+    private static final String STATE_DRAINING = "DRAINING";
+    private static final String STATE_REMOVED = "DELETED";
+
+    /** The empty full list. */
     public static final MemberList NONE = new MemberList(0, true, List.of());
 
-    /** One whose entries all make sense. */
+    /** A list without invalid entries. */
     public MemberList(long version, boolean full, List<Server> servers) {
         this(version, full, servers, Set.of());
     }
 
     /**
-     * One row; {@code address} is null only for one that is gone. {@code startedMs} is the latest start by
-     * the wall clock of whoever dates the list, in Unix milliseconds, 0 for long ago.
+     * An entry.
+     *
+     * @param address null only if the server is removed
+     * @param startedMs the latest start by the wall clock of discovery, in Unix milliseconds; 0 for long ago
      */
     public record Server(
             String id,
@@ -42,8 +49,9 @@
             double weight,
             long startedMs) {
         /**
-         * The row in the module's terms, under the number that stands for its id.
+         * Converts the entry to the type of the dispatch module.
          *
+         * @param target the number assigned to the id
          * @param startedAt when it started on the host's clock, in nanoseconds; 0 for long ago
          */
         public WorkerEndpoint worker(long target, long startedAt) {
@@ -52,34 +60,36 @@
     }
 
     /**
-     * From the network. An entry that makes no sense must not cost the node all the others: it is left out,
-     * and {@code complaints} is given how many there were and what is wrong with the first. A whole list that
-     * names a server twice is refused, since which of the two counts cannot be known.
+     * Parses a list from the network. An invalid entry must not invalidate the others: it is ignored. A full
+     * list that names a server twice is rejected, since it is unknown which entry is valid.
+     *
+     * @param complaints receives the number of invalid entries and the fault of the first, if there are any
+     * @throws IOException if it is not a list
      */
-    public static MemberList of(Map<?, ?> map, Consumer<String> complaints) throws IOException {
+    public static MemberList of(Map<?, ?> map, Consumer<String> warnings) throws IOException {
         try {
             ConfigNode list = new ConfigNode("", map);
-            if (!list.has("version") || !list.has("servers")) { // or any object would be an empty list
-                throw list.wrong(list.has("version") ? "servers" : "version", "is missing");
+            if (!list.has("version") || !list.has("servers")) { // else any object would be an empty list
+                throw list.invalid(list.has("version") ? "servers" : "version", "is missing");
             }
             List<Server> servers = new ArrayList<>();
             Set<String> unusable = new HashSet<>();
-            int left = 0;
-            String first = null;
-            List<ConfigNode> rows = list.objects("servers");
-            for (ConfigNode row : rows) {
+            int invalid = 0;
+            String firstError = null;
+            List<ConfigNode> entries = list.objects("servers");
+            for (ConfigNode entry : entries) {
                 try {
-                    servers.add(server(row));
+                    servers.add(server(entry));
                 } catch (ConfigException e) {
-                    left++;
-                    first = first == null ? e.getMessage() : first;
-                    if (row.values().get("id") instanceof String id) {
+                    invalid++;
+                    firstError = firstError == null ? e.getMessage() : firstError;
+                    if (entry.values().get("id") instanceof String id) {
                         unusable.add(id);
                     }
                 }
             }
-            if (left > 0) {
-                complaints.accept(left + " of " + rows.size() + " entries cannot be used, first " + first);
+            if (invalid > 0) {
+                warnings.accept(invalid + " of " + entries.size() + " entries cannot be used, first " + firstError);
             }
             return checked(list, servers, unusable);
         } catch (ConfigException e) {
@@ -87,45 +97,49 @@
         }
     }
 
-    /** From a configuration: every fault is named. */
+    /**
+     * Reads a list from a configuration.
+     *
+     * @throws ConfigException for the first invalid entry
+     */
     public static MemberList of(ConfigNode list) throws ConfigException {
         List<Server> servers = new ArrayList<>();
-        for (ConfigNode row : list.objects("servers")) {
-            servers.add(server(row));
+        for (ConfigNode entry : list.objects("servers")) {
+            servers.add(server(entry));
         }
         return checked(list, servers, Set.of());
     }
 
     private static MemberList checked(ConfigNode list, List<Server> servers, Set<String> unusable)
             throws ConfigException {
-        boolean full = list.flag("full", true);
+        boolean full = list.bool("full", true);
         Set<String> ids = new HashSet<>();
         for (Server each : servers) {
             if (!ids.add(each.id()) && full) {
-                throw list.wrong("servers", "must name a server once, and names " + each.id() + " twice");
+                throw list.invalid("servers", "must name a server once, and names " + each.id() + " twice");
             }
         }
-        return new MemberList(list.whole("version", 0, Long.MAX_VALUE, 0), full, servers, unusable);
+        return new MemberList(list.integer("version", 0, Long.MAX_VALUE, 0), full, servers, unusable);
     }
 
-    private static Server server(ConfigNode row) throws ConfigException {
-        String word = row.text("state", "SERVING");
-        EndpointState state = switch (word) {
-            case "SERVING" -> EndpointState.READY;
-            case "DRAINING" -> EndpointState.DRAINING;
-            case "DELETED" -> EndpointState.REMOVED;
-            default -> throw row.wrong("state", "must be SERVING, DRAINING or DELETED");
+    private static Server server(ConfigNode entry) throws ConfigException {
+        String stateText = entry.text("state", STATE_READY);
+        EndpointState state = switch (stateText) {
+            case STATE_READY -> EndpointState.READY;
+            case STATE_DRAINING -> EndpointState.DRAINING;
+            case STATE_REMOVED -> EndpointState.REMOVED;
+            default -> throw entry.invalid("state", "must be SERVING, DRAINING or DELETED");
         };
-        boolean gone = state == EndpointState.REMOVED;
+        boolean removed = state == EndpointState.REMOVED;
         return new Server(
-                row.text("id"),
-                row.text("addr", ""),
-                gone ? null : row.address("addr", null),
-                row.text("zone", "-"),
-                row.text("kind", "-"),
-                (int) row.whole("cell", Integer.MIN_VALUE, Integer.MAX_VALUE, 0),
+                entry.text("id"),
+                entry.text("addr", ""),
+                removed ? null : entry.address("addr", null),
+                entry.text("zone", "-"),
+                entry.text("kind", "-"),
+                (int) entry.integer("cell", Integer.MIN_VALUE, Integer.MAX_VALUE, 0),
                 state,
-                row.number("weight", 0, 1e9, 1),
-                (long) row.number("started_ms", 0, 9e15, 0));
+                entry.number("weight", 0, 1e9, 1),
+                (long) entry.number("started_ms", 0, 9e15, 0));
     }
 }
--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -10,8 +10,20 @@
 import java.util.Map;
 
 /**
- * What a platform node is told. The one place where PROXY_CONFIG and its companions are read, checked and
- * given defaults.
+ * Configuration of a platform node. PROXY_CONFIG and the other environment variables are read, validated and
+ * given defaults here only.
+ *
+ * @param name the node's name
+ * @param listen where clients connect
+ * @param discovery where discovery listens
+ * @param discoveryHost the same as text
+ * @param console where the admin endpoint listens, or null for none
+ * @param state directory of the state files, or null for none
+ * @param seed of the random draws
+ * @param sockets limit of open sockets
+ * @param known the cached list of discovery; empty if there is none
+ * @param options settings of the dispatch module
+ * @param connectTimeoutNs timeout of connecting to a server, in nanoseconds
  */
 public record NodeConfig(
         String name,
@@ -28,20 +40,26 @@
     private static final Logger LOG = System.getLogger(NodeConfig.class.getName());
     private static final long DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000L;
 
-    /** By the environment: the file that PROXY_CONFIG names, and the other variables in its stead. */
+    /**
+     * Reads the file that PROXY_CONFIG names; other variables override its keys.
+     *
+     * @throws ConfigException if the file cannot be read or the configuration is invalid
+     */
     public static NodeConfig of(Map<String, String> environment) throws ConfigException {
         return of(environment, false);
     }
 
     /**
-     * The same again while the node runs. PROXY_DISCOVERY told where discovery was at the start; a file
-     * that is written later and names an address knows better.
+     * Reads the configuration again while the node runs. PROXY_DISCOVERY is the address at the start: an address
+     * in the file, which may have been written since, takes precedence.
+     *
+     * @throws ConfigException if the file cannot be read or the configuration is invalid
      */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         return of(environment, true);
     }
 
-    private static NodeConfig of(Map<String, String> environment, boolean again) throws ConfigException {
+    private static NodeConfig of(Map<String, String> environment, boolean reload) throws ConfigException {
         Map<Object, Object> values = new HashMap<>();
         String file = environment.get("PROXY_CONFIG");
         if (file != null) {
@@ -50,10 +68,10 @@
         put(values, "name", environment.get("PROXY_NAME"));
         put(values, "listen", environment.get("PROXY_LISTEN"));
         put(values, "console", environment.get("PROXY_CONSOLE"));
-        if (values.get("state_dir") == null) { // TMPDIR is not ours alone: the file's word goes first
+        if (values.get("state_dir") == null) { // TMPDIR is shared, so the file takes precedence
             put(values, "state_dir", environment.get("TMPDIR"));
         }
-        if (!again || values.get("discovery") == null) {
+        if (!reload || values.get("discovery") == null) {
             put(values, "discovery", environment.get("PROXY_DISCOVERY"));
         }
         return of(new ConfigNode("", values));
@@ -65,7 +83,11 @@
         }
     }
 
-    /** A file with one JSON object. */
+    /**
+     * Reads a file with one JSON object.
+     *
+     * @throws ConfigException if it cannot be read or is not an object; the message names the file
+     */
     public static ConfigNode read(String file) throws ConfigException {
         byte[] text;
         try {
@@ -84,83 +106,88 @@
         throw new ConfigException(file, "must hold one object");
     }
 
-    public static NodeConfig of(ConfigNode c) throws ConfigException {
-        ConfigNode settings = c.object("settings");
-        check(settings);
-        ConfigNode limits = c.object("limits", Map.of());
+    /**
+     * Reads and validates a configuration; absent keys have their defaults.
+     *
+     * @throws ConfigException for the first fault or misspelt key
+     */
+    public static NodeConfig of(ConfigNode root) throws ConfigException {
+        ConfigNode settings = root.object("settings");
+        validateSettings(settings);
+        ConfigNode limits = root.object("limits", Map.of());
         ConfigNode bounds = settings.object("Limits", Map.of());
-        limits.mayHave("cores", "memory_mb"); // for the platform to hold us to
-        c.mayHave("seed", "console", "state_dir");
+        limits.allowKeys("cores", "memory_mb"); // enforced by the platform
+        root.allowKeys("seed", "console", "state_dir");
         NodeConfig config = new NodeConfig(
-                c.text("name", "node"),
-                c.address("listen", null),
-                c.address("discovery", null),
-                c.text("discovery"),
-                c.has("console") ? c.address("console", null) : null,
-                c.directory("state_dir"),
-                seed(c),
-                (int) limits.whole("sockets", 32, 1 << 20, 1024),
-                MemberList.of(c.object("known", Map.of())),
+                root.text("name", "node"),
+                root.address("listen", null),
+                root.address("discovery", null),
+                root.text("discovery"),
+                root.has("console") ? root.address("console", null) : null,
+                root.directory("state_dir"),
+                seed(root),
+                (int) limits.integer("sockets", 32, 1 << 20, 1024),
+                MemberList.of(root.object("known", Map.of())),
                 ModuleOptions.of(settings.values()),
-                bounds.whole("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
-        others(c);
-        others(limits);
+                bounds.integer("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
+        warnUnknownKeys(root);
+        warnUnknownKeys(limits);
         return config;
     }
 
     /**
-     * The platform writes this file and may add to it, so a key of its own is only told of; one that is a
-     * letter or two from one of ours was meant for us, and would be passed over for ever.
+     * The platform writes this file and may add keys, so an unknown key is only logged. One that is a typo of a
+     * known key is an error, since it would be ignored for good.
      */
-    private static void others(ConfigNode c) throws ConfigException {
-        for (Map.Entry<String, String> each : c.others().entrySet()) {
+    private static void warnUnknownKeys(ConfigNode root) throws ConfigException {
+        for (Map.Entry<String, String> each : root.unknownKeys().entrySet()) {
             if (each.getValue() != null) {
-                throw c.unknown(each.getKey(), each.getValue());
+                throw root.unknownKey(each.getKey(), each.getValue());
             }
-            LOG.log(Level.WARNING, "the configuration's key " + c.path(each.getKey()) + " is not known here");
+            LOG.log(Level.WARNING, "configuration key ignored reason=unknown key=" + root.path(each.getKey()));
         }
     }
 
-    /** The address as a word, for names of files. */
+    /** The listen address as a part of file names. */
     public String address() {
         return listen.getAddress().getHostAddress().replace(':', '-') + "-" + listen.getPort();
     }
 
-    private static long seed(ConfigNode c) throws ConfigException {
-        if (c.values().get("seed") instanceof Number n) {
-            return n.longValue();
+    private static long seed(ConfigNode root) throws ConfigException {
+        if (root.values().get("seed") instanceof Number number) {
+            return number.longValue();
         }
         try {
-            return Long.parseUnsignedLong(c.text("seed", "0"), 16);
+            return Long.parseUnsignedLong(root.text("seed", "0"), 16);
         } catch (NumberFormatException e) {
-            throw c.wrong("seed", "must be up to 16 hexadecimal digits");
+            throw root.invalid("seed", "must be up to 16 hexadecimal digits");
         }
     }
 
-    /** What the module cannot do without, or would take for something else. */
-    private static void check(ConfigNode settings) throws ConfigException {
+    /** Validates the settings that the module requires or would misinterpret. */
+    private static void validateSettings(ConfigNode settings) throws ConfigException {
         if (settings.objects("Classes").isEmpty()) {
-            throw settings.wrong("Classes", "must name at least one class");
+            throw settings.invalid("Classes", "must name at least one class");
         }
         for (ConfigNode each : settings.objects("Classes")) {
             each.text("Name");
-            each.whole("AimNs", 0, Long.MAX_VALUE, 0);
-            each.whole("DeadlineNs", 0, Long.MAX_VALUE, 0);
-            each.whole("WindowNs", 0, Long.MAX_VALUE, 0);
+            each.integer("AimNs", 0, Long.MAX_VALUE, 0);
+            each.integer("DeadlineNs", 0, Long.MAX_VALUE, 0);
+            each.integer("WindowNs", 0, Long.MAX_VALUE, 0);
             each.number("Worth", 0, 1e12, 1);
             each.text("Effect", "");
         }
         ConfigNode limits = settings.object("Limits", Map.of());
-        limits.whole("MaxAttempts", 1, 1000, 1);
-        limits.whole("IdleCloseNs", 0, Long.MAX_VALUE, 0);
+        limits.integer("MaxAttempts", 1, 1000, 1);
+        limits.integer("IdleCloseNs", 0, Long.MAX_VALUE, 0);
         ConfigNode rules = settings.object("Rules", Map.of());
-        rules.whole("DrainGraceNs", 0, Long.MAX_VALUE, 0);
+        rules.integer("DrainGraceNs", 0, Long.MAX_VALUE, 0);
         rules.number("StartCapacity", 0, 1, 1);
         rules.number("OverloadFactor", 0, 1e6, 1);
-        ConfigNode family = settings.object("Specifics", Map.of());
-        family.numbers("ClassKind");
-        family.numbers("ClassStretch");
-        settings.whole("GroupSize", 1, 1_000_000, 1);
-        settings.whole("Me", 0, 1_000_000, 0);
+        ConfigNode siteSpecifics = settings.object("Specifics", Map.of());
+        siteSpecifics.numberList("ClassKind");
+        siteSpecifics.numberList("ClassStretch");
+        settings.integer("GroupSize", 1, 1_000_000, 1);
+        settings.integer("Me", 0, 1_000_000, 0);
     }
 }
--- a/src/main/java/beechseam/config/package-info.java
+++ b/src/main/java/beechseam/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Configuration: the one place that reads, checks and defaults it. A fault is told by the path of its key.
- * It may use the module's interface; nothing here opens a socket.
+ * Configuration: reads, validates and applies defaults, which is done nowhere else. An error names the path of
+ * its key. The package may use the types of the dispatch module; it opens no socket.
  */
 package beechseam.config;
--- a/src/test/java/beechseam/config/SchemaTest.java
+++ b/src/test/java/beechseam/config/SchemaTest.java
@@ -10,28 +10,28 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The schema in deploy/ is what the code asks of an operator's file, and judges files as the code does. */
+/** The schema in deploy/ is generated from the reader of the Gearman file, and accepts the same files. */
 class SchemaTest {
     private static final Path SCHEMA = Path.of("deploy", "gearman.schema.json");
 
     @Test
-    void theSchemaInDeployIsMadeOfTheCode() throws Exception {
+    void schemaInDeployIsUpToDate() throws Exception {
         assertEquals(
                 JsonSchema.of(GearmanConfig.sample(), "beechseam: operator's file for Gearman"),
                 Files.readString(SCHEMA),
-                "write it anew: beechseam schema > deploy/gearman.schema.json");
+                "regenerate it: beechseam schema > deploy/gearman.schema.json");
     }
 
     @Test
-    void schemaAndCodeAgreeOnGoodAndBadFiles() throws Exception {
+    void schemaAndReaderAgreeOnValidAndInvalidFiles() throws Exception {
         Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(Files.readString(SCHEMA), InputFormat.JSON);
-        String[] good = {
+        String[] valid = {
             "{\"functions\":\"*\"}",
             "{\"functions\":[{\"name\":\"f\",\"max_queue\":{\"high\":3}}]}",
             Files.readString(Path.of("deploy", "gearman.json"))
         };
-        String[] bad = {
+        String[] invalid = {
             "{\"functions\":\"all\"}",
             "{\"functions\":[{}]}",
             "{\"functions\":\"*\",\"stoer\":1}",
@@ -43,18 +43,18 @@
             "{\"functions\":[{\"name\":\"f\",\"max_queue\":{\"mid\":3}}]}",
             "{\"functions\":\"*\",\"workers\":[{\"zone\":\"a\"}]}"
         };
-        for (String text : good) {
+        for (String text : valid) {
             assertTrue(schema.validate(text, InputFormat.JSON).isEmpty(), text);
-            assertDoesNotThrow(() -> GearmanConfig.of(tree(text)), text);
+            assertDoesNotThrow(() -> GearmanConfig.of(parse(text)), text);
         }
-        for (String text : bad) {
+        for (String text : invalid) {
             assertFalse(schema.validate(text, InputFormat.JSON).isEmpty(), text);
-            assertThrows(ConfigException.class, () -> GearmanConfig.of(tree(text)), text);
+            assertThrows(ConfigException.class, () -> GearmanConfig.of(parse(text)), text);
         }
     }
 
     @Test
-    void anUnknownKeyIsNamedWithTheNearestKnownOne() throws Exception {
+    void unknownKeyIsRejectedWithSuggestion() throws Exception {
         for (String[] each : new String[][] {
             {"stoer: is not known here; known are zone, workers, functions,", "{\"functions\":\"*\",\"stoer\":1}"},
             {"max_job: is not known here; did you mean max_jobs?", "{\"functions\":\"*\",\"max_job\":1}"},
@@ -71,13 +71,13 @@
                 "{\"functions\":[{\"name\":\"a\",\"max_queue\":{\"hihg\":1}}]}"
             }
         }) {
-            String message = assertThrows(ConfigException.class, () -> GearmanConfig.of(tree(each[1])))
+            String message = assertThrows(ConfigException.class, () -> GearmanConfig.of(parse(each[1])))
                     .getMessage();
             assertTrue(message.startsWith(each[0]), message);
         }
     }
 
-    private static ConfigNode tree(String text) throws Exception {
+    private static ConfigNode parse(String text) throws Exception {
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         return new ConfigNode("", (java.util.Map<?, ?>) Json.parse(bytes, 0, bytes.length));
     }
