--- a/src/main/java/beechseam/config/ConfigException.java
+++ b/src/main/java/beechseam/config/ConfigException.java
@@ -1,12 +1,10 @@
 package beechseam.config;
 
-/**
- * A configuration that cannot be used; the message names the file, where there is one, and the faulty key.
- */
+/** An invalid configuration; the message names the file, if there is one, and the key. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** {@code key} names what is at fault, usually a key; {@code problem} follows in the message. */
+    /** A fault at a key or file: {@code problem} is the rest of the sentence. */
     public ConfigException(String key, String problem) {
         super(key + ": " + problem);
     }
@@ -15,7 +13,7 @@
         super(message);
     }
 
-    /** The same with the name of the file in front of the message, unless it stands there already. */
+    /** This exception with the file's name in the message, unless it has it already. */
     public ConfigException in(String file) {
         return getMessage().startsWith(file + ": ") ? this : new ConfigException(file + ": " + getMessage());
     }
--- a/src/main/java/beechseam/config/ConfigNode.java
+++ b/src/main/java/beechseam/config/ConfigNode.java
@@ -10,290 +10,290 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * An object of a configuration, read with checks and defaults; every error names the key by its path. Reading a
- * key also declares it: so a key that nothing reads is found afterwards, and a schema can be generated from what
- * was read, without a second description of the format. A null value counts as absent.
+ * An object of a configuration, read with validation and defaults; every error names the key by its path. Each
+ * read declares its key, so that unknown keys can be rejected and a schema can be generated from the
+ * declarations. Keys are declared in the order of the first read.
  */
 public final class ConfigNode {
-    /** The type of a key's value. */
-    enum Kind {
-        TEXT,
-        WHOLE,
-        NUMBER,
-        FLAG,
-        WORD,
-        DIRECTORY,
-        ADDRESS,
-        OBJECT,
-        NUMBERS,
-        OBJECTS
-    }
-
-    /**
-     * What was declared of a key by reading it.
-     *
-     * @param kind         the type of its value
-     * @param required     whether it must be there
-     * @param defaultValue its value if absent, or null if there is none
-     * @param least        the lower bound of a number
-     * @param most         the upper bound of a number
-     * @param words        the words of which it is one, or the word that may stand in place of a list; else null
-     * @param child        the last object read of it, or null for other types
-     */
-    record KeyDeclaration(
-            Kind kind,
-            boolean required,
-            Object defaultValue,
-            double least,
-            double most,
-            List<String> words,
-            ConfigNode child) {}
-
-    /** The largest edit distance of a suggested key, as a share of the length of the unknown one. */
-    private static final double MAX_SUGGESTION_DISTANCE = 0.5;
-    /** The same where the unknown key may belong to another program. */
-    private static final double MAX_MISSPELLING_DISTANCE = 0.25;
+    /** Integers below this are formatted without a fraction. */
+    private static final double MAX_EXACT_INTEGER = 1e15;
 
     private final String path;
     private final Map<?, ?> values;
-    private final Map<String, KeyDeclaration> declared = new LinkedHashMap<>();
+    private final Map<String, KeySchema> keys = new LinkedHashMap<>();
 
     /**
-     * A node over parsed JSON.
-     *
-     * @param path   its path in the configuration, empty for the root
-     * @param values its values by key
+     * @param path where the object is in its document; empty for the root
+     * @param values the object's members by key
      */
     public ConfigNode(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
 
-    /** The keys read so far, in the order of their first reading. */
-    Map<String, KeyDeclaration> declared() {
-        return declared;
+    /** Declarations by key, in the order of the first read. */
+    Map<String, KeySchema> keys() {
+        return keys;
     }
 
     private void declare(
             String key,
-            Kind kind,
+            KeySchema.Kind kind,
             Object defaultValue,
-            double least,
-            double most,
-            List<String> words,
+            double minimum,
+            double maximum,
+            List<String> choices,
             ConfigNode child) {
-        KeyDeclaration before = declared.get(key);
-        if (before == null || child != null) {
-            declared.put(
+        KeySchema declared = keys.get(key);
+        if (declared == null || child != null) {
+            keys.put(
                     key,
-                    new KeyDeclaration(
-                            kind, before != null && before.required, defaultValue, least, most, words, child));
+                    new KeySchema(
+                            kind,
+                            declared != null && declared.required(),
+                            defaultValue,
+                            minimum,
+                            maximum,
+                            choices,
+                            child));
         }
     }
 
-    private void declare(String key, Kind kind, Object defaultValue) {
+    private void declare(String key, KeySchema.Kind kind, Object defaultValue) {
         declare(key, kind, defaultValue, 0, 0, null, null);
     }
 
-    private void require(String key, Kind kind) throws ConfigException {
-        declared.put(key, new KeyDeclaration(kind, true, null, 0, 0, null, null));
+    private void declareRequired(String key, KeySchema.Kind kind) throws ConfigException {
+        keys.put(key, new KeySchema(kind, true, null, 0, 0, null, null));
         if (!has(key)) {
             throw missing(key);
         }
     }
 
-    /** Throws if there is a key that has not been read; the message suggests the nearest of those that have been. */
-    public void noOthers() throws ConfigException {
+    /**
+     * Rejects keys that have not been declared.
+     *
+     * @throws ConfigException for the first unknown key, with the nearest declared one as a suggestion
+     */
+    public void rejectUnknownKeys() throws ConfigException {
         for (Object each : values.keySet()) {
-            if (!declared.containsKey(each)) {
-                throw unknown(each.toString(), nearest(each.toString(), MAX_SUGGESTION_DISTANCE));
+            if (!keys.containsKey(each)) {
+                throw unknownKey(each.toString(), KeySuggestion.forUnknownKey(each.toString(), keys.keySet()));
             }
         }
     }
 
-    /** Declares keys that may be there and are not read by their names. */
-    public void mayHave(String... keys) {
+    /** Declares keys that are permitted, but not read here. */
+    public void allowKeys(String... keys) {
         for (String each : keys) {
-            declare(each, Kind.TEXT, null);
+            declare(each, KeySchema.Kind.TEXT, null);
         }
     }
 
-    /** The keys that have not been read, each with the declared key that it misspells, or null if it is like none. */
-    public Map<String, String> others() {
-        Map<String, String> others = new LinkedHashMap<>();
+    /**
+     * Keys that have not been declared, each with the declared key of which it is a typo, or null if there is
+     * none.
+     */
+    public Map<String, String> unknownKeys() {
+        Map<String, String> unknown = new LinkedHashMap<>();
         for (Object each : values.keySet()) {
-            if (!declared.containsKey(each)) {
-                others.put(each.toString(), nearest(each.toString(), MAX_MISSPELLING_DISTANCE));
+            if (!keys.containsKey(each)) {
+                unknown.put(each.toString(), KeySuggestion.forTypo(each.toString(), keys.keySet()));
             }
         }
-        return others;
+        return unknown;
     }
 
-    private String nearest(String key, double share) {
-        String best = null;
-        int least = (int) Math.max(1, key.length() * share) + 1;
-        for (String each : declared.keySet()) {
-            int distance = LevenshteinDistance.getDefaultInstance().apply(key.toLowerCase(), each.toLowerCase());
-            if (distance < least) {
-                least = distance;
-                best = each;
-            }
-        }
-        return best;
-    }
-
-    /** The path of a key of this object, as errors name it. */
+    /** Path of a key from the root, for messages. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Whether the key has a value other than null. */
+    /** Whether the key is present and not null. */
     public boolean has(String key) {
         return values.get(key) != null;
     }
 
-    /** The values by key, as parsed. */
+    /** The members as parsed. */
     public Map<?, ?> values() {
         return values;
     }
 
-    /** An error about a key; names its value if that is a text, a number or a flag. */
-    public ConfigException wrong(String key, String problem) {
+    /** An error at the key, to be thrown by the caller; a scalar value is appended to the message. */
+    public ConfigException invalid(String key, String problem) {
         Object value = values.get(key);
-        boolean plain = value instanceof String || value instanceof Number || value instanceof Boolean;
-        return new ConfigException(path(key), plain ? problem + " (it is " + value + ")" : problem);
+        boolean scalar = value instanceof String || value instanceof Number || value instanceof Boolean;
+        return new ConfigException(path(key), scalar ? problem + " (it is " + value + ")" : problem);
     }
 
-    /** The error for an unknown key; {@code near} is the key that may be meant, or null to name all that are known. */
-    ConfigException unknown(String key, String near) {
+    /** An error for an unknown key; {@code suggestion} is the key probably meant, or null if there is none. */
+    ConfigException unknownKey(String key, String suggestion) {
         return new ConfigException(
                 path(key),
                 "is not known here; "
-                        + (near == null
-                                ? "known are " + String.join(", ", declared.keySet())
-                                : "did you mean " + near + "?"));
+                        + (suggestion == null
+                                ? "known are " + String.join(", ", keys.keySet())
+                                : "did you mean " + suggestion + "?"));
     }
 
     private ConfigException missing(String key) {
-        return wrong(key, "is missing");
+        return invalid(key, "is missing");
     }
 
-    /** A text that must be there and is not blank. */
+    /**
+     * A required text.
+     *
+     * @throws ConfigException if it is missing, blank, or not a text
+     */
     public String text(String key) throws ConfigException {
-        require(key, Kind.TEXT);
+        declareRequired(key, KeySchema.Kind.TEXT);
         return text(key, null);
     }
 
-    /** A text that is not blank, or the default, which may be null. */
+    /**
+     * An optional text.
+     *
+     * @param defaultValue returned if the key is absent; may be null
+     * @throws ConfigException if it is blank or not a text
+     */
     public String text(String key, String defaultValue) throws ConfigException {
-        declare(key, Kind.TEXT, defaultValue);
+        declare(key, KeySchema.Kind.TEXT, defaultValue);
         Object value = values.get(key);
         if (value == null) {
             return defaultValue;
         }
         if (!(value instanceof String text) || text.isBlank()) {
-            throw wrong(key, "must be a text that is not empty");
+            throw invalid(key, "must be a text that is not empty");
         }
         return text;
     }
 
-    /** A whole number from {@code least} to {@code most}, or the default, which is not checked. */
-    public long whole(String key, long least, long most, long defaultValue) throws ConfigException {
-        declare(key, Kind.WHOLE, defaultValue, least, most, null, null);
-        double value = number(key, least, most, defaultValue);
+    /**
+     * An integer within inclusive bounds.
+     *
+     * @throws ConfigException if it has a fraction, is out of bounds, or is not a number
+     */
+    public long integer(String key, long minimum, long maximum, long defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.INTEGER, defaultValue, minimum, maximum, null, null);
+        double value = number(key, minimum, maximum, defaultValue);
         if (value != Math.rint(value)) {
-            throw wrong(key, "must be a whole number");
+            throw invalid(key, "must be a whole number");
         }
         return values.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** A number from {@code least} to {@code most}, or the default, which is not checked. */
-    public double number(String key, double least, double most, double defaultValue) throws ConfigException {
-        declare(key, Kind.NUMBER, defaultValue, least, most, null, null);
+    /**
+     * A number within inclusive bounds.
+     *
+     * @throws ConfigException if it is out of bounds or not a number
+     */
+    public double number(String key, double minimum, double maximum, double defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.NUMBER, defaultValue, minimum, maximum, null, null);
         Object value = values.get(key);
         if (value == null) {
             return defaultValue;
         }
-        if (!(value instanceof Number number) || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            throw wrong(key, "must be a number from " + plain(least) + " to " + plain(most));
+        if (!(value instanceof Number number)
+                || !(number.doubleValue() >= minimum && number.doubleValue() <= maximum)) {
+            throw invalid(key, "must be a number from " + format(minimum) + " to " + format(maximum));
         }
         return number.doubleValue();
     }
 
-    private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
-                ? Long.toString((long) value)
-                : Double.toString(value);
+    private static String format(double value) {
+        return isExactInteger(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** True or false, or the default. */
-    public boolean flag(String key, boolean defaultValue) throws ConfigException {
-        declare(key, Kind.FLAG, defaultValue);
+    /** Whether the value has no fraction and is small enough to be formatted as an integer. */
+    static boolean isExactInteger(double value) {
+        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT_INTEGER;
+    }
+
+    /**
+     * A boolean.
+     *
+     * @throws ConfigException if it is neither true nor false
+     */
+    public boolean bool(String key, boolean defaultValue) throws ConfigException {
+        declare(key, KeySchema.Kind.BOOLEAN, defaultValue);
         Object value = values.get(key);
         if (value == null) {
             return defaultValue;
         }
         if (!(value instanceof Boolean flag)) {
-            throw wrong(key, "must be true or false");
+            throw invalid(key, "must be true or false");
         }
         return flag;
     }
 
-    /** A constant by its {@code toString}, in any case of letters, or the default, which may be null. */
-    public <E extends Enum<E>> E word(String key, Class<E> words, E defaultValue) throws ConfigException {
-        List<String> known = Arrays.stream(words.getEnumConstants())
+    /**
+     * A constant of an enum, by its {@code toString} regardless of case.
+     *
+     * @param defaultValue returned if the key is absent; may be null
+     * @throws ConfigException if the text is none of the constants
+     */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) throws ConfigException {
+        List<String> choices = Arrays.stream(type.getEnumConstants())
                 .map(each -> each.toString().toLowerCase())
                 .toList();
         declare(
                 key,
-                Kind.WORD,
+                KeySchema.Kind.CHOICE,
                 defaultValue == null ? null : defaultValue.toString().toLowerCase(),
                 0,
                 0,
-                known,
+                choices,
                 null);
         String value = text(key, null);
         if (value == null) {
             return defaultValue;
         }
-        for (E each : words.getEnumConstants()) {
+        for (E each : type.getEnumConstants()) {
             if (each.toString().equalsIgnoreCase(value)) {
                 return each;
             }
         }
-        throw wrong(
+        throw invalid(
                 key,
-                "must be one of " + List.of(words.getEnumConstants()).toString().toLowerCase());
+                "must be one of " + List.of(type.getEnumConstants()).toString().toLowerCase());
     }
 
-    /** The path of a directory, or null if absent; whether it exists is not checked. */
+    /**
+     * A directory, or null if the key is absent; its existence is not checked.
+     *
+     * @throws ConfigException if it is no valid path
+     */
     public Path directory(String key) throws ConfigException {
-        declare(key, Kind.DIRECTORY, null);
+        declare(key, KeySchema.Kind.DIRECTORY, null);
         try {
             return has(key) ? Path.of(text(key, null)) : null;
         } catch (InvalidPathException e) {
-            throw wrong(key, "must be a path: " + e.getReason());
+            throw invalid(key, "must be a path: " + e.getReason());
         }
     }
 
-    /** An IP address and port; required if the default is null. A host name is an error: nothing here resolves it. */
+    /**
+     * An IP address and port; host names are rejected, since they would have to be resolved.
+     *
+     * @param defaultValue default; null if the key is required
+     * @throws ConfigException if it is missing or malformed
+     */
     public InetSocketAddress address(String key, String defaultValue) throws ConfigException {
-        declare(key, Kind.ADDRESS, defaultValue);
+        declare(key, KeySchema.Kind.ADDRESS, defaultValue);
         String value = text(key, defaultValue);
         if (value == null) {
             throw missing(key);
         }
         InetSocketAddress address = address(value);
         if (address == null) {
-            throw wrong(key, "must be an IP address and port, such as 127.0.0.1:8081");
+            throw invalid(key, "must be an IP address and port, such as 127.0.0.1:8081");
         }
         return address;
     }
 
-    /** The address that a text gives, or null if it is none. */
+    /** Parses an IP address and port; null if malformed. */
     static InetSocketAddress address(String value) {
         int colon = value.lastIndexOf(':');
         String host = colon < 0 ? "" : value.substring(0, colon);
@@ -308,62 +308,84 @@
         }
     }
 
-    /** An object that must be there. */
+    /**
+     * A required object.
+     *
+     * @throws ConfigException if it is missing or not an object
+     */
     public ConfigNode object(String key) throws ConfigException {
-        require(key, Kind.OBJECT);
+        declareRequired(key, KeySchema.Kind.OBJECT);
         return object(key, null);
     }
 
-    /** An object, or one over the default's values if absent. */
+    /**
+     * An optional object.
+     *
+     * @param defaultValue its members if the key is absent
+     * @throws ConfigException if it is not an object
+     */
     public ConfigNode object(String key, Map<?, ?> defaultValue) throws ConfigException {
         Object value = values.get(key);
         if (value != null && !(value instanceof Map<?, ?>)) {
-            throw wrong(key, "must be an object");
+            throw invalid(key, "must be an object");
         }
         ConfigNode child = new ConfigNode(path(key), value == null ? defaultValue : (Map<?, ?>) value);
-        declare(key, Kind.OBJECT, null, 0, 0, null, child);
+        declare(key, KeySchema.Kind.OBJECT, null, 0, 0, null, child);
         return child;
     }
 
-    /** Throws if the key is there and is not a list of numbers. */
-    public void numbers(String key) throws ConfigException {
-        declare(key, Kind.NUMBERS, null);
+    /**
+     * Validates an optional list of numbers.
+     *
+     * @throws ConfigException if it is not a list or has other elements
+     */
+    public void numberList(String key) throws ConfigException {
+        declare(key, KeySchema.Kind.NUMBER_LIST, null);
         Object value = values.get(key);
         if (value != null
                 && !(value instanceof List<?> list && list.stream().allMatch(each -> each instanceof Number))) {
-            throw wrong(key, "must be a list of numbers");
+            throw invalid(key, "must be a list of numbers");
         }
     }
 
-    /** The objects of a list; empty if absent. */
+    /**
+     * A list of objects; empty if the key is absent.
+     *
+     * @throws ConfigException if it is not a list or has other elements
+     */
     public List<ConfigNode> objects(String key) throws ConfigException {
         return objects(key, null);
     }
 
-    /** The objects of a list, empty if absent; null if {@code word}, null for none, stands in its place. */
-    public List<ConfigNode> objects(String key, String word) throws ConfigException {
-        List<String> words = word == null ? null : List.of(word);
-        declare(key, Kind.OBJECTS, null, 0, 0, words, null);
+    /**
+     * A list of objects, or null if the value is the wildcard.
+     *
+     * @param wildcard text permitted in place of the list; null for none
+     * @throws ConfigException if it is neither
+     */
+    public List<ConfigNode> objects(String key, String wildcard) throws ConfigException {
+        List<String> choices = wildcard == null ? null : List.of(wildcard);
+        declare(key, KeySchema.Kind.OBJECT_LIST, null, 0, 0, choices, null);
         Object value = values.get(key);
-        if (word != null && word.equals(value)) {
+        if (wildcard != null && wildcard.equals(value)) {
             return null;
         }
-        List<ConfigNode> all = new ArrayList<>();
+        List<ConfigNode> children = new ArrayList<>();
         if (value == null) {
-            return all;
+            return children;
         }
         if (!(value instanceof List<?> list)) {
-            throw wrong(key, "must be a list");
+            throw invalid(key, "must be a list");
         }
         for (Object each : list) {
-            String at = path(key) + "[" + all.size() + "]";
+            String childPath = path(key) + "[" + children.size() + "]";
             if (!(each instanceof Map<?, ?> map)) {
-                throw new ConfigException(at, "must be an object");
+                throw new ConfigException(childPath, "must be an object");
             }
-            ConfigNode child = new ConfigNode(at, map);
-            declare(key, Kind.OBJECTS, null, 0, 0, words, child);
-            all.add(child);
+            ConfigNode child = new ConfigNode(childPath, map);
+            declare(key, KeySchema.Kind.OBJECT_LIST, null, 0, 0, choices, child);
+            children.add(child);
         }
-        return all;
+        return children;
     }
 }
--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -10,20 +10,20 @@
 import java.util.Map;
 
 /**
- * The configuration of a platform node: the one place where PROXY_CONFIG and the other environment variables are
- * read, checked and given defaults.
+ * Configuration of a platform node. PROXY_CONFIG and the other environment variables are read, validated and
+ * given defaults here only.
  *
- * @param name             the node's name
- * @param listen           where clients are accepted
- * @param discovery        where discovery is reached
- * @param discoveryHost    the same as written in the configuration, for the Host header
- * @param console          the admin endpoint, or null for none
- * @param state            the state directory, or null for none
- * @param seed             of the dispatcher's random draws
- * @param sockets          the most connections that the node may hold
- * @param known            the endpoint list to start with, until discovery has answered
- * @param options          the settings of the dispatcher and the engine
- * @param connectTimeoutNs how long connecting to a worker may take, in nanoseconds
+ * @param name the node's name
+ * @param listen where clients connect
+ * @param discovery where discovery listens
+ * @param discoveryHost the same as text
+ * @param console where the admin endpoint listens, or null for none
+ * @param state directory of the state files, or null for none
+ * @param seed of the random draws
+ * @param sockets limit of open sockets
+ * @param known the cached list of discovery; empty if there is none
+ * @param options settings of the dispatch module
+ * @param connectTimeoutNs timeout of connecting to a server, in nanoseconds
  */
 public record NodeConfig(
         String name,
@@ -41,20 +41,19 @@
     private static final long DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000L;
 
     /**
-     * Reads the configuration at the start of the process: the file that PROXY_CONFIG names, if any, then the other
-     * variables, which replace what stands in the file; TMPDIR only fills a gap.
+     * Reads the file that PROXY_CONFIG names; other variables override its keys.
      *
-     * @throws ConfigException if a key is missing, wrong or misspelt, or the file cannot be read
+     * @throws ConfigException if the file cannot be read or the configuration is invalid
      */
     public static NodeConfig of(Map<String, String> environment) throws ConfigException {
         return of(environment, false);
     }
 
     /**
-     * Reads the configuration again while the node runs. PROXY_DISCOVERY gives the address at the start only: here
-     * an address in the file, which is newer, goes first.
+     * Reads the configuration again while the node runs. PROXY_DISCOVERY is the address at the start: an address
+     * in the file, which may have been written since, takes precedence.
      *
-     * @throws ConfigException as at the start
+     * @throws ConfigException if the file cannot be read or the configuration is invalid
      */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         return of(environment, true);
@@ -69,7 +68,7 @@
         put(values, "name", environment.get("PROXY_NAME"));
         put(values, "listen", environment.get("PROXY_LISTEN"));
         put(values, "console", environment.get("PROXY_CONSOLE"));
-        if (values.get("state_dir") == null) { // TMPDIR is set for other purposes too: the file goes first
+        if (values.get("state_dir") == null) { // TMPDIR is shared, so the file takes precedence
             put(values, "state_dir", environment.get("TMPDIR"));
         }
         if (!reload || values.get("discovery") == null) {
@@ -87,17 +86,17 @@
     /**
      * Reads a file with one JSON object.
      *
-     * @throws ConfigException if the file cannot be read or holds anything else
+     * @throws ConfigException if it cannot be read or is not an object; the message names the file
      */
     public static ConfigNode read(String file) throws ConfigException {
-        byte[] content;
+        byte[] text;
         try {
-            content = Files.readAllBytes(Path.of(file));
+            text = Files.readAllBytes(Path.of(file));
         } catch (IOException | RuntimeException e) {
             throw new ConfigException(file, "cannot be read: " + e.getMessage());
         }
         try {
-            if (Json.parse(content, 0, content.length) instanceof Map<?, ?> map) {
+            if (Json.parse(text, 0, text.length) instanceof Map<?, ?> map) {
                 return new ConfigNode("", map);
             }
         } catch (IOException e) {
@@ -108,17 +107,17 @@
     }
 
     /**
-     * Reads the configuration from parsed JSON. Unknown keys are logged, unless they look like misspelt ones.
+     * Reads and validates a configuration; absent keys have their defaults.
      *
-     * @throws ConfigException if a key is missing, wrong or misspelt
+     * @throws ConfigException for the first fault or misspelt key
      */
     public static NodeConfig of(ConfigNode root) throws ConfigException {
         ConfigNode settings = root.object("settings");
-        check(settings);
+        validateSettings(settings);
         ConfigNode limits = root.object("limits", Map.of());
         ConfigNode bounds = settings.object("Limits", Map.of());
-        limits.mayHave("cores", "memory_mb"); // enforced by the platform, not here
-        root.mayHave("seed", "console", "state_dir");
+        limits.allowKeys("cores", "memory_mb"); // enforced by the platform
+        root.allowKeys("seed", "console", "state_dir");
         NodeConfig config = new NodeConfig(
                 root.text("name", "node"),
                 root.address("listen", null),
@@ -127,29 +126,29 @@
                 root.has("console") ? root.address("console", null) : null,
                 root.directory("state_dir"),
                 seed(root),
-                (int) limits.whole("sockets", 32, 1 << 20, 1024),
+                (int) limits.integer("sockets", 32, 1 << 20, 1024),
                 MemberList.of(root.object("known", Map.of())),
                 ModuleOptions.of(settings.values()),
-                bounds.whole("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
-        checkUnknownKeys(root);
-        checkUnknownKeys(limits);
+                bounds.integer("ConnectTimeoutNs", 1_000_000L, 60_000_000_000L, DEFAULT_CONNECT_TIMEOUT_NS));
+        warnUnknownKeys(root);
+        warnUnknownKeys(limits);
         return config;
     }
 
     /**
-     * The platform writes this file and may add keys of its own, so an unknown key is only logged; but one that is
-     * nearly a known key is an error, since its setting would be ignored unnoticed.
+     * The platform writes this file and may add keys, so an unknown key is only logged. One that is a typo of a
+     * known key is an error, since it would be ignored for good.
      */
-    private static void checkUnknownKeys(ConfigNode node) throws ConfigException {
-        for (Map.Entry<String, String> each : node.others().entrySet()) {
+    private static void warnUnknownKeys(ConfigNode root) throws ConfigException {
+        for (Map.Entry<String, String> each : root.unknownKeys().entrySet()) {
             if (each.getValue() != null) {
-                throw node.unknown(each.getKey(), each.getValue());
+                throw root.unknownKey(each.getKey(), each.getValue());
             }
-            LOG.log(Level.WARNING, "unknown configuration key ignored key=" + node.path(each.getKey()));
+            LOG.log(Level.WARNING, "configuration key ignored reason=unknown key=" + root.path(each.getKey()));
         }
     }
 
-    /** The address that clients are accepted at, in a form that is valid in file names. */
+    /** The listen address as a part of file names. */
     public String address() {
         return listen.getAddress().getHostAddress().replace(':', '-') + "-" + listen.getPort();
     }
@@ -161,34 +160,34 @@
         try {
             return Long.parseUnsignedLong(root.text("seed", "0"), 16);
         } catch (NumberFormatException e) {
-            throw root.wrong("seed", "must be up to 16 hexadecimal digits");
+            throw root.invalid("seed", "must be up to 16 hexadecimal digits");
         }
     }
 
-    /** Checks settings of the dispatcher that it needs, or would take for something else if they were wrong. */
-    private static void check(ConfigNode settings) throws ConfigException {
+    /** Validates the settings that the module requires or would misinterpret. */
+    private static void validateSettings(ConfigNode settings) throws ConfigException {
         if (settings.objects("Classes").isEmpty()) {
-            throw settings.wrong("Classes", "must name at least one class");
+            throw settings.invalid("Classes", "must name at least one class");
         }
         for (ConfigNode each : settings.objects("Classes")) {
             each.text("Name");
-            each.whole("AimNs", 0, Long.MAX_VALUE, 0);
-            each.whole("DeadlineNs", 0, Long.MAX_VALUE, 0);
-            each.whole("WindowNs", 0, Long.MAX_VALUE, 0);
+            each.integer("AimNs", 0, Long.MAX_VALUE, 0);
+            each.integer("DeadlineNs", 0, Long.MAX_VALUE, 0);
+            each.integer("WindowNs", 0, Long.MAX_VALUE, 0);
             each.number("Worth", 0, 1e12, 1);
             each.text("Effect", "");
         }
         ConfigNode limits = settings.object("Limits", Map.of());
-        limits.whole("MaxAttempts", 1, 1000, 1);
-        limits.whole("IdleCloseNs", 0, Long.MAX_VALUE, 0);
+        limits.integer("MaxAttempts", 1, 1000, 1);
+        limits.integer("IdleCloseNs", 0, Long.MAX_VALUE, 0);
         ConfigNode rules = settings.object("Rules", Map.of());
-        rules.whole("DrainGraceNs", 0, Long.MAX_VALUE, 0);
+        rules.integer("DrainGraceNs", 0, Long.MAX_VALUE, 0);
         rules.number("StartCapacity", 0, 1, 1);
         rules.number("OverloadFactor", 0, 1e6, 1);
-        ConfigNode family = settings.object("Specifics", Map.of());
-        family.numbers("ClassKind");
-        family.numbers("ClassStretch");
-        settings.whole("GroupSize", 1, 1_000_000, 1);
-        settings.whole("Me", 0, 1_000_000, 0);
+        ConfigNode siteSpecifics = settings.object("Specifics", Map.of());
+        siteSpecifics.numberList("ClassKind");
+        siteSpecifics.numberList("ClassStretch");
+        settings.integer("GroupSize", 1, 1_000_000, 1);
+        settings.integer("Me", 0, 1_000_000, 0);
     }
 }
