--- a/src/main/java/beechseam/core/EngineContext.java
+++ b/src/main/java/beechseam/core/EngineContext.java
@@ -36,7 +36,7 @@
 
     /** Creates the dispatcher; what its constructor brings about waits for the first event. */
     void createDispatcher(DispatchSettings settings, long seed, DispatchActions actions) {
-        dispatcher = events.createWithEventsHeld(() -> new Dispatcher(now(), settings, seed, actions));
+        dispatcher = events.createWithEventsQueued(() -> new Dispatcher(now(), settings, seed, actions));
     }
 
     Dispatcher dispatcher() {
--- a/src/main/java/beechseam/core/EventQueue.java
+++ b/src/main/java/beechseam/core/EventQueue.java
@@ -49,8 +49,8 @@
         }
     }
 
-    /** Creates a value while events are held back; those brought about meanwhile run after the next one submitted. */
-    <T> T createWithEventsHeld(Supplier<T> factory) {
+    /** Creates a value while events are only queued; those brought about meanwhile run after the next one submitted. */
+    <T> T createWithEventsQueued(Supplier<T> factory) {
         running = true;
         T created = factory.get();
         running = false;
--- a/src/test/java/beechseam/core/CountersTest.java
+++ b/src/test/java/beechseam/core/CountersTest.java
@@ -31,7 +31,7 @@
 
     /** Operators and their tools read this line: keys, their order and form must not change. */
     @Test
-    void countersLineKeepsItsKeysAndOrder() {
+    void countersLineHasStableKeysAndOrder() {
         assertEquals(
                 "{\"taken\":100,\"sent\":2,\"answered\":4,\"written\":4,\"served\":2,\"shed\":1,\"failed\":1,"
                         + "\"left\":8,\"probes\":1,\"late_callbacks\":10,\"bad_input\":11,"
--- a/src/test/java/beechseam/core/EngineHarness.java
+++ b/src/test/java/beechseam/core/EngineHarness.java
@@ -25,7 +25,7 @@
  */
 final class EngineHarness implements Egress, Ingress {
     static final long MS = 1_000_000L;
-    static final long S = 1000 * MS;
+    static final long SECOND = 1000 * MS;
 
     /** A gate that the test opens and closes. */
     static final class TestGate implements SendGate {
@@ -50,7 +50,7 @@
     final List<Long> healthChecked = new ArrayList<>();
     final TestGate gate = new TestGate();
     final Engine engine;
-    long now = 1_700_000_000L * S;
+    long now = 1_700_000_000L * SECOND;
     boolean failAtOnce;
     boolean sending;
 
@@ -60,19 +60,28 @@
 
     EngineHarness(Idempotency idempotency, long latencyObjectiveNs, double lateWeight) {
         JobClass jobClass = new JobClass(
-                "c", latencyObjectiveNs, 4 * S, 2, 1, lateWeight, idempotency, DeduplicationScope.CELL, 2 * S, null);
+                "c",
+                latencyObjectiveNs,
+                4 * SECOND,
+                2,
+                1,
+                lateWeight,
+                idempotency,
+                DeduplicationScope.CELL,
+                2 * SECOND,
+                null);
         engine = new Engine(
                 new DispatchSettings(
                         List.of(jobClass),
-                        new DispatchLimits(4, S, true, true, false, true, 10 * S),
-                        new WorkerRules(300 * MS, 8 * S, 0.25, 8 * S, 3, S, false),
+                        new DispatchLimits(4, SECOND, true, true, false, true, 10 * SECOND),
+                        new WorkerRules(300 * MS, 8 * SECOND, 0.25, 8 * SECOND, 3, SECOND, false),
                         LoadReportSource.ANSWERS,
                         false,
                         1,
                         0,
                         "z",
                         true,
-                        S,
+                        SECOND,
                         0.05,
                         0,
                         0,
@@ -95,7 +104,7 @@
     }
 
     Request submit(String correlation) {
-        Request request = engine.submit(correlation, 0, 4 * S, 1, 0, "message", this);
+        Request request = engine.submit(correlation, 0, 4 * SECOND, 1, 0, "message", this);
         if (request != null) {
             accepted.add(request);
         }
--- a/src/test/java/beechseam/core/EngineTest.java
+++ b/src/test/java/beechseam/core/EngineTest.java
@@ -19,7 +19,7 @@
 /** The engine between a front end and an egress that do anything at any time, against its invariants. */
 class EngineTest {
     private static final long MS = EngineHarness.MS;
-    private static final long S = EngineHarness.S;
+    private static final long SECOND = EngineHarness.SECOND;
 
     @Property(seed = "20261201", tries = 300)
     void everyRequestGetsOneAnswerBeforeItsDeadlineUnderRandomEvents(
@@ -30,7 +30,7 @@
         for (int step = 0; step < 120; step++) {
             randomEvent(harness, random, disconnected);
         }
-        harness.advance(6 * S);
+        harness.advance(6 * SECOND);
         for (Request request : harness.accepted) {
             assertNotEquals(
                     disconnected.contains(request),
@@ -88,7 +88,7 @@
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
         harness.failAtOnce = true;
         Request request = harness.submit("a");
-        harness.advance(4 * S);
+        harness.advance(4 * SECOND);
         assertTrue(harness.answers.get(request).startsWith("shed"), "it never ran: a further try is harmless");
         assertEquals(0, harness.counters.faults);
         assertEquals(harness.counters.attemptsSent, harness.counters.ended(Outcome.UNREACHABLE));
@@ -99,7 +99,7 @@
     void silentAttemptTimesOutBeforeClientDeadline() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
         Request request = harness.submit("a");
-        harness.advance(4 * S - 26 * MS);
+        harness.advance(4 * SECOND - 26 * MS);
         assertNull(harness.answers.get(request));
         harness.advance(2 * MS);
         assertEquals("failed", harness.answers.get(request), "it may have run");
@@ -126,7 +126,7 @@
         harness.inFlight.remove(second);
         assertFalse(harness.engine.tryBegin(second));
         assertTrue(second.hasEnded());
-        harness.advance(4 * S);
+        harness.advance(4 * SECOND);
         assertEquals("failed", harness.answers.get(request), "it may have run");
         assertEquals(1, harness.counters.withheld);
     }
@@ -150,8 +150,8 @@
         harness.submit("first");
         harness.advance(phaseMs * MS);
         Request request = harness.submit("a");
-        harness.advance(4 * S);
-        assertEquals("shed " + S, harness.answers.get(request));
+        harness.advance(4 * SECOND);
+        assertEquals("shed " + SECOND, harness.answers.get(request));
     }
 
     /** Its answer is given, or its target drains, while an attempt waits: it does not begin. */
@@ -187,7 +187,7 @@
         assertEquals(
                 List.of(first, second),
                 harness.inFlight.stream().map(each -> each.request).toList());
-        harness.advance(4 * S);
+        harness.advance(4 * SECOND);
         assertTrue(harness.answers.containsKey(first) && harness.answers.containsKey(second));
     }
 
@@ -197,7 +197,7 @@
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
         harness.gate.open = false;
         Request request = harness.submit("a");
-        harness.advance(4 * S - 26 * MS);
+        harness.advance(4 * SECOND - 26 * MS);
         assertNull(harness.answers.get(request));
         harness.advance(2 * MS);
         assertEquals("shed " + 700 * MS, harness.answers.get(request));
@@ -275,15 +275,15 @@
     void answerAllByBoundsDeadlinesOfLaterRequestsOnly() {
         EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
         Request before = harness.submit("before");
-        harness.engine.answerAllBy(harness.now + S);
+        harness.engine.answerAllBy(harness.now + SECOND);
         Request after = harness.submit("after");
-        harness.advance(S - MS);
+        harness.advance(SECOND - MS);
         long sent = harness.counters.attemptsSent;
         harness.advance(2 * MS);
         assertTrue(after.finished());
         assertFalse(before.finished(), "accepted before: its own deadline holds");
         assertEquals(sent, harness.counters.attemptsSent, "what is cut is not sent again");
-        harness.advance(4 * S);
+        harness.advance(4 * SECOND);
         assertTrue(before.finished());
         assertEquals(0, harness.engine.openRequests());
     }
--- a/src/test/java/beechseam/core/EventQueueTest.java
+++ b/src/test/java/beechseam/core/EventQueueTest.java
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void eventsHeldDuringCreationRunAfterTheNextOne() {
-        String created = events.createWithEventsHeld(() -> {
-            events.submit(() -> order.add("held"));
+    void eventsQueuedDuringCreationRunAfterTheNextOne() {
+        String created = events.createWithEventsQueued(() -> {
+            events.submit(() -> order.add("queued"));
             return "created";
         });
         assertEquals("created", created);
         assertTrue(order.isEmpty());
         events.submit(() -> order.add("next"));
-        assertEquals(List.of("next", "held"), order);
+        assertEquals(List.of("next", "queued"), order);
     }
 }
