--- a/src/main/java/beechseam/fleet/membership/Dissemination.java
+++ b/src/main/java/beechseam/fleet/membership/Dissemination.java
@@ -53,8 +53,8 @@
 
     /** The updates to piggyback on the next message, a list that the caller may change. */
     List<Member> nextUpdates() {
-        int retransmitLimit =
-                (int) (RETRANSMIT_MULTIPLIER * Math.ceil(Math.log10(members.up().size() + 2)));
+        int retransmitLimit = (int) (RETRANSMIT_MULTIPLIER
+                * Math.ceil(Math.log10(members.upMembers().size() + 2)));
         return queue.take(MAX_UPDATE_BYTES, retransmitLimit);
     }
 
@@ -77,7 +77,7 @@
                 local.send(entry.member, new Message.Gossip(updates));
             }
         }
-        if (members.up().isEmpty()) {
+        if (members.upMembers().isEmpty()) {
             queue.clear(); // a member that joins later gets the full state
         }
     }
--- a/src/main/java/beechseam/fleet/membership/FailureDetector.java
+++ b/src/main/java/beechseam/fleet/membership/FailureDetector.java
@@ -17,8 +17,8 @@
  * fleet's size. Nacks of the helpers tell a dead target from a slow or isolated prober (Lifeguard).
  */
 final class FailureDetector {
-    /** A helper sends a nack after this share of the probe time-out. */
-    private static final double NACK_SHARE = 0.8;
+    /** A helper sends a nack after this fraction of the probe time-out. */
+    private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
     /** The probe of the current interval. */
     private static final class Probe {
@@ -143,7 +143,7 @@
                 request.target(),
                 request.address(),
                 new Ping(sequence, request.target(), request.processId(), dissemination.nextUpdates()));
-        local.timers.after((long) (NACK_SHARE * local.options.probeTimeoutNs()), () -> {
+        local.timers.after((long) (NACK_TIMEOUT_FRACTION * local.options.probeTimeoutNs()), () -> {
             if (ackHandlers.containsKey(sequence)) {
                 local.host.send(name, address, new Nack(request.sequence(), dissemination.nextUpdates()));
             }
@@ -189,14 +189,14 @@
     }
 
     /**
-     * This process was paused for {@code pauseNs} until {@code atNs}: what it did not receive meanwhile says nothing
+     * This process was paused for {@code stallNs} until {@code atNs}: what it did not receive meanwhile says nothing
      * about others. The probe that is out is void, and each suspect gets the lost time back.
      */
-    void onStall(long atNs, long pauseNs) {
+    void onStall(long atNs, long stallNs) {
         local.counters.stalls++;
         local.awareness.adjust(1);
         current = null;
-        updates.extendSuspicions(pauseNs, atNs);
+        updates.extendSuspicions(stallNs, atNs);
     }
 
     private long expectAck(Runnable onAck) {
--- a/src/main/java/beechseam/fleet/membership/JoinProtocol.java
+++ b/src/main/java/beechseam/fleet/membership/JoinProtocol.java
@@ -36,7 +36,7 @@
     /** Begins to join, or becomes a member at once where there are no other seeds. */
     void start() {
         if (local.otherSeeds().isEmpty()) {
-            becomeMember("alone: no seeds but itself");
+            becomeMember("alone: no other seeds configured");
         } else {
             contactSeeds();
         }
@@ -47,7 +47,7 @@
             return;
         }
         if (attempts >= MAX_ATTEMPTS) {
-            becomeMember("alone: no seed has answered");
+            becomeMember("alone: no seed answered");
             return;
         }
         attempts++;
@@ -68,7 +68,7 @@
     /** A member has accepted this process; {@code sender} is its name or address. */
     void onAccepted(String sender) {
         if (local.phase() == MembershipPhase.JOINING) {
-            becomeMember("let in by " + sender);
+            becomeMember("accepted by " + sender);
         }
     }
 
@@ -82,11 +82,11 @@
     /** A process asks to join. */
     void onJoin(Member joiner) {
         Member holder = members.find(joiner.name());
-        boolean free = holder == null
+        boolean nameAvailable = holder == null
                 || !holder.isUp()
                 || holder.processId() == joiner.processId()
                 || holder.address().equals(joiner.address()) && holder != local.self();
-        if (free) {
+        if (nameAvailable) {
             accept(joiner);
         } else if (holder == local.self()) {
             reject(joiner, holder);
--- a/src/main/java/beechseam/fleet/membership/Member.java
+++ b/src/main/java/beechseam/fleet/membership/Member.java
@@ -45,22 +45,24 @@
      * one epoch, the lower process id; of one process, the higher incarnation; of one incarnation, the later status.
      * {@link MemberStatus#LEFT} is final for its process.
      *
-     * @param held the claim held until now, or null for none
+     * @param current the claim about the same name that is held now, or null for none
      */
-    public boolean supersedes(Member held) {
-        if (held == null) {
+    public boolean supersedes(Member current) {
+        if (current == null) {
             return true;
         }
-        if (epoch != held.epoch) {
-            return epoch > held.epoch;
+        if (epoch != current.epoch) {
+            return epoch > current.epoch;
         }
-        if (processId != held.processId) {
-            return processId < held.processId;
+        if (processId != current.processId) {
+            return processId < current.processId;
         }
-        if (held.status == MemberStatus.LEFT || status == MemberStatus.LEFT) {
-            return held.status != MemberStatus.LEFT;
+        if (current.status == MemberStatus.LEFT || status == MemberStatus.LEFT) {
+            return current.status != MemberStatus.LEFT;
         }
-        return incarnation != held.incarnation ? incarnation > held.incarnation : status.compareTo(held.status) > 0;
+        return incarnation != current.incarnation
+                ? incarnation > current.incarnation
+                : status.compareTo(current.status) > 0;
     }
 
     /** The same process and incarnation with another status; {@code newAccuser} is empty for none. */
--- a/src/main/java/beechseam/fleet/membership/MemberTable.java
+++ b/src/main/java/beechseam/fleet/membership/MemberTable.java
@@ -15,7 +15,7 @@
 
     private final LocalNode local;
     private final Map<String, MemberEntry> entries = new LinkedHashMap<>();
-    private final List<MemberEntry> up = new ArrayList<>();
+    private final List<MemberEntry> upMembers = new ArrayList<>();
     private final ProbeRound probeRound;
 
     MemberTable(LocalNode local) {
@@ -41,8 +41,8 @@
     }
 
     /** The other members that are up. */
-    List<MemberEntry> up() {
-        return up;
+    List<MemberEntry> upMembers() {
+        return upMembers;
     }
 
     /** The claim held of a name, this process's own included, or null. */
@@ -64,19 +64,19 @@
 
     /** The number of members that are up, this process included once it is one. */
     int size() {
-        return up.size() + (local.isMember() ? 1 : 0);
+        return upMembers.size() + (local.isMember() ? 1 : 0);
     }
 
     /** Moves an entry into or out of the set of those that are up. */
     void setUp(MemberEntry entry, boolean isUp) {
         if (isUp && entry.upIndex == MemberEntry.NOT_UP) {
-            entry.upIndex = up.size();
-            up.add(entry);
+            entry.upIndex = upMembers.size();
+            upMembers.add(entry);
             probeRound.add(entry);
         } else if (!isUp && entry.upIndex != MemberEntry.NOT_UP) {
-            MemberEntry last = up.remove(up.size() - 1);
+            MemberEntry last = upMembers.remove(upMembers.size() - 1);
             if (last != entry) {
-                up.set(entry.upIndex, last);
+                upMembers.set(entry.upIndex, last);
                 last.upIndex = entry.upIndex;
             }
             entry.upIndex = MemberEntry.NOT_UP;
@@ -85,15 +85,15 @@
 
     /** The member to probe next, or null. */
     MemberEntry nextToProbe() {
-        return probeRound.next(up);
+        return probeRound.next(upMembers);
     }
 
     /** Up to {@code count} members that are up, drawn at random, without {@code excluded} (null for none). */
     List<MemberEntry> sample(int count, MemberEntry excluded) {
         List<MemberEntry> sampled = new ArrayList<>(count);
-        int candidates = up.size();
+        int candidates = upMembers.size();
         for (int i = 0; i < DRAWS_PER_ENTRY * count && sampled.size() < count && candidates > 0; i++) {
-            MemberEntry entry = up.get(local.random.nextInt(candidates));
+            MemberEntry entry = upMembers.get(local.random.nextInt(candidates));
             if (entry != excluded && !sampled.contains(entry)) {
                 sampled.add(entry);
             }
@@ -111,7 +111,7 @@
     /** The same at two members that hold the same processes for up, in whatever order; O(n). */
     long digest() {
         long sum = local.isMember() ? hash(local.self()) : 0;
-        for (MemberEntry entry : up) {
+        for (MemberEntry entry : upMembers) {
             sum += hash(entry.member);
         }
         return sum;
--- a/src/main/java/beechseam/fleet/membership/MemberUpdates.java
+++ b/src/main/java/beechseam/fleet/membership/MemberUpdates.java
@@ -23,39 +23,39 @@
     void merge(Member update, boolean fullState) {
         MemberEntry entry = members.entry(update.name());
         if (entry == null) {
-            apply(members.create(update.name()), update, "heard of");
+            apply(members.create(update.name()), update, "discovered");
             return;
         }
-        Member held = entry.member;
-        if (!update.supersedes(held)) {
+        Member current = entry.member;
+        if (!update.supersedes(current)) {
             mergeOlder(entry, update);
             return;
         }
-        if (update.status() == MemberStatus.DEAD && fullState && held.isUp() && update.sameProcess(held)) {
+        if (update.status() == MemberStatus.DEAD && fullState && current.isUp() && update.sameProcess(current)) {
             // The claim may date from the other side of a partition: the member gets the time to refute it.
             Member suspect = update.withStatus(MemberStatus.SUSPECT, update.accuser());
-            if (suspect.supersedes(held)) {
-                apply(entry, suspect, reason(held, suspect));
+            if (suspect.supersedes(current)) {
+                apply(entry, suspect, reason(current, suspect));
             }
             return;
         }
-        if (held.status() == MemberStatus.SUSPECT && update.status() == MemberStatus.ALIVE) {
+        if (current.status() == MemberStatus.SUSPECT && update.status() == MemberStatus.ALIVE) {
             local.counters.refutedSuspects++;
         }
-        apply(entry, update, reason(held, update));
+        apply(entry, update, reason(current, update));
     }
 
     /** A claim that does not replace the one held: a further accuser, or one that is out of date. */
     private void mergeOlder(MemberEntry entry, Member update) {
-        Member held = entry.member;
-        if (!update.sameProcess(held)) {
+        Member current = entry.member;
+        if (!update.sameProcess(current)) {
             return;
         }
         if (update.status() == MemberStatus.SUSPECT
-                && held.status() == MemberStatus.SUSPECT
-                && update.incarnation() == held.incarnation()) {
+                && current.status() == MemberStatus.SUSPECT
+                && update.incarnation() == current.incarnation()) {
             confirmSuspicion(entry, update.accuser());
-        } else if (held.status() == MemberStatus.DEAD && update.isUp()) {
+        } else if (current.status() == MemberStatus.DEAD && update.isUp()) {
             local.counters.staleClaims++;
         }
     }
@@ -73,10 +73,10 @@
     }
 
     /** Grants every suspect the time for which this process was paused until {@code atNs}. */
-    void extendSuspicions(long pauseNs, long atNs) {
-        for (MemberEntry entry : members.up()) {
+    void extendSuspicions(long stallNs, long atNs) {
+        for (MemberEntry entry : members.upMembers()) {
             if (entry.suspicion != null) {
-                entry.suspicion.extend(pauseNs, atNs, local.timers);
+                entry.suspicion.extend(stallNs, atNs, local.timers);
             }
         }
     }
@@ -106,7 +106,9 @@
         double probeIntervals = options.suspicionMultiplier() * Math.max(1, Math.log10(Math.max(1, members.size())));
         long minTimeoutNs = (long) (probeIntervals * options.probeIntervalNs());
         int expectedConfirmations = options.localHealthEnabled()
-                ? Math.min(options.indirectChecks(), Math.max(0, members.up().size() - 1))
+                ? Math.min(
+                        options.indirectChecks(),
+                        Math.max(0, members.upMembers().size() - 1))
                 : 0;
         long maxTimeoutNs =
                 expectedConfirmations == 0 ? minTimeoutNs : (long) (minTimeoutNs * options.maxSuspicionMultiplier());
@@ -128,23 +130,23 @@
         apply(entry, dead, deathReason(dead));
     }
 
-    private static String reason(Member held, Member update) {
+    private static String reason(Member current, Member update) {
         return switch (update.status()) {
-            case ALIVE -> aliveReason(held, update);
+            case ALIVE -> aliveReason(current, update);
             case SUSPECT -> "suspected by " + update.accuser();
             case DEAD -> deathReason(update);
-            case LEFT -> "has left";
+            case LEFT -> "left";
         };
     }
 
-    private static String aliveReason(Member held, Member update) {
-        if (!update.sameProcess(held)) {
+    private static String aliveReason(Member current, Member update) {
+        if (!update.sameProcess(current)) {
             return "restarted";
         }
-        return held.status() == MemberStatus.SUSPECT ? "contradicts" : "is back";
+        return current.status() == MemberStatus.SUSPECT ? "refuted" : "alive again";
     }
 
     private static String deathReason(Member dead) {
-        return "declared dead, accused by " + dead.accuser();
+        return "confirmed dead, accused by " + dead.accuser();
     }
 }
--- a/src/main/java/beechseam/fleet/membership/Membership.java
+++ b/src/main/java/beechseam/fleet/membership/Membership.java
@@ -127,7 +127,7 @@
         local.setPhase(MembershipPhase.LEAVING);
         Member before = local.self();
         local.setSelf(before.withStatus(MemberStatus.LEFT, ""));
-        local.reportChange(before, local.self(), "leaves");
+        local.reportChange(before, local.self(), "leaving");
         dissemination.announceLeave();
         timers.after(local.options.probeIntervalNs(), () -> local.setPhase(MembershipPhase.LEFT));
     }
--- a/src/main/java/beechseam/fleet/membership/ProbeRound.java
+++ b/src/main/java/beechseam/fleet/membership/ProbeRound.java
@@ -23,13 +23,13 @@
         order.add(next + random.nextInt(order.size() - Math.min(next, order.size()) + 1), entry);
     }
 
-    /** The member to probe next, or null where none of {@code up} can be probed. */
-    MemberEntry next(List<MemberEntry> up) {
+    /** The member to probe next, or null where none of {@code upMembers} can be probed. */
+    MemberEntry next(List<MemberEntry> upMembers) {
         for (int i = order.size(); i >= 0; i--) {
             if (next >= order.size()) {
                 next = 0;
                 order.clear();
-                order.addAll(up);
+                order.addAll(upMembers);
                 Collections.shuffle(order, random);
             }
             if (order.isEmpty()) {
--- a/src/main/java/beechseam/fleet/membership/Suspicion.java
+++ b/src/main/java/beechseam/fleet/membership/Suspicion.java
@@ -46,19 +46,19 @@
     }
 
     /** Grants the suspect the time for which this process was paused until {@code atNs}. */
-    void extend(long pauseNs, long atNs, Timers timers) {
-        maxTimeoutNs += pauseNs;
-        minTimeoutNs += pauseNs;
-        timeout = timers.reschedule(timeout, Math.max(timeout.dueNs(), atNs) + pauseNs);
+    void extend(long stallNs, long atNs, Timers timers) {
+        maxTimeoutNs += stallNs;
+        minTimeoutNs += stallNs;
+        timeout = timers.reschedule(timeout, Math.max(timeout.dueNs(), atNs) + stallNs);
     }
 
-    /** When the death is confirmed, by the accusers counted so far. */
+    /** The time-out by the accusers counted so far, which may be past already. */
     long deadlineNs() {
         if (accusers.size() == 1) {
             return startedNs + maxTimeoutNs;
         }
-        double share = Math.log(accusers.size()) / Math.log(expectedConfirmations + 1);
-        long timeoutNs = (long) (maxTimeoutNs - share * (maxTimeoutNs - minTimeoutNs));
+        double fraction = Math.log(accusers.size()) / Math.log(expectedConfirmations + 1);
+        long timeoutNs = (long) (maxTimeoutNs - fraction * (maxTimeoutNs - minTimeoutNs));
         return startedNs + Math.max(minTimeoutNs, timeoutNs);
     }
 }
--- a/src/main/java/beechseam/fleet/model/MembershipExperiment.java
+++ b/src/main/java/beechseam/fleet/model/MembershipExperiment.java
@@ -5,6 +5,7 @@
 import beechseam.fleet.membership.MembershipOptions;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -269,7 +270,8 @@
         Result[] results = new Result[cases.size()];
         IntStream.range(0, results.length)
                 .boxed()
-                .sorted((a, b) -> Integer.compare(cases.get(b).nodes, cases.get(a).nodes))
+                .sorted(Comparator.comparingInt((Integer i) -> cases.get(i).nodes)
+                        .reversed())
                 .toList()
                 .parallelStream()
                 .forEach(i -> {
