--- a/src/main/java/beechseam/net/EventLoop.java
+++ b/src/main/java/beechseam/net/EventLoop.java
@@ -16,32 +16,45 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 
-/** One thread that serves all connections and timers. No exception leaves it. */
+/**
+ * One thread that serves all connections and timers. A turn serves ready channels first, then posted tasks,
+ * due timers, and the tasks of the turn's end. No exception of a callback, task or timer leaves it.
+ */
 public final class EventLoop {
     private static final Logger LOG = System.getLogger(EventLoop.class.getName());
-    private static final long LONGEST_WAIT_NS = 1_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long MAX_WAIT_NS = 1_000_000_000L;
 
-    /** What a selection key carries. */
+    /** The attachment of a selection key: serves its channel. */
     public interface Ready {
+        /** The channel is ready for some of the operations of its interest set. */
         void ready(SelectionKey key) throws IOException;
 
-        /** A fault got out of {@link #ready}: whoever owns the channel must not go on counting on it. */
+        /** An exception left {@link #ready}: the owner of the channel must not rely on it any more. */
         default void fault(SelectionKey key, Exception why) {
             closeQuietly(key.channel());
         }
     }
 
+    /** The timers that this loop fires, on the clock of {@link #now}. */
     public final TimerQueue timers = new TimerQueue();
+
+    /** The read buffers of all connections of this loop. */
     public final Buffers buffers;
+
     private final Selector selector;
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private ArrayList<Runnable> turnEnd = new ArrayList<>();
-    private ArrayList<Runnable> spare = new ArrayList<>();
-    private final Set<Runnable> descriptorWaiters = new LinkedHashSet<>();
-    // Unix time that never steps: discovery dates starts in Unix time, and deadlines need a steady clock.
-    private final long clockOffset = System.currentTimeMillis() * 1_000_000L - System.nanoTime();
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private ArrayList<Runnable> turnEndTasks = new ArrayList<>();
+    /** Swapped with the list under way, which may be appended to meanwhile. */
+    private ArrayList<Runnable> emptyTurnEndTasks = new ArrayList<>();
+
+    private final Set<Runnable> descriptorFreedTasks = new LinkedHashSet<>();
+    /** Added to the monotonic clock gives Unix time that never steps: discovery dates starts in Unix time. */
+    private final long clockOffsetNs = System.currentTimeMillis() * NS_PER_MS - System.nanoTime();
+
     private volatile boolean stopping;
 
+    /** A loop with buffers of its own; {@link #run} or {@link #turn} serves it. */
     public EventLoop() throws IOException {
         this(new Buffers());
     }
@@ -51,26 +64,31 @@
         selector = Selector.open();
     }
 
+    /** Monotonic time in ns since the Unix epoch, which was read once: it does not follow steps of the wall clock. */
     public long now() {
-        return System.nanoTime() + clockOffset;
+        return System.nanoTime() + clockOffsetNs;
     }
 
+    /** Registers a non-blocking channel; {@code ops} are operations of {@link SelectionKey}. */
     public SelectionKey register(SelectableChannel channel, int ops, Ready ready) throws IOException {
         return channel.register(selector, ops, ready);
     }
 
-    /** Runs it on the loop's thread; the only method for other threads, with {@link #stop}. */
+    /**
+     * Runs the task on the loop's thread, in this turn or the next. With {@link #stop} the only method for other
+     * threads.
+     */
     public void post(Runnable task) {
-        posted.add(task);
+        postedTasks.add(task);
         selector.wakeup();
     }
 
     /**
-     * Makes a slow call, such as reading a file, on a thread of its own, and hands what it gave, or the
-     * exception that it threw, to the loop's thread: the loop must not stand still for it.
+     * Makes a blocking call, such as reading a file, on a thread of its own, and passes its result, which may
+     * be null, or its exception to a callback on the loop's thread.
      */
     public <T> void callAside(Callable<T> call, Consumer<T> done, Consumer<Exception> failed) {
-        Thread aside = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         T result = call.call();
@@ -80,89 +98,91 @@
                     }
                 },
                 "aside");
-        aside.setDaemon(true);
-        aside.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /**
-     * Runs it on the loop's thread when all that this turn brings has been seen to; for the loop's thread
-     * only.
+     * Runs the task at the end of the current turn, after its channels, tasks and timers; for the loop's
+     * thread only.
      */
     public void atTurnEnd(Runnable task) {
-        turnEnd.add(task);
+        turnEndTasks.add(task);
     }
 
     /**
-     * Runs it once when a connection of this loop has given its descriptor back, for who could not open one,
-     * however often it is asked for until then; for the loop's thread only.
+     * Runs the task once after a connection of this loop has closed, for an owner that ran out of
+     * descriptors; the same task registered repeatedly still runs once. For the loop's thread only.
      */
     public void whenDescriptorFreed(Runnable task) {
-        descriptorWaiters.add(task);
+        descriptorFreedTasks.add(task);
     }
 
-    /** A channel has been closed. The runtime lets its descriptor go in the next selection. */
+    /** A channel has been closed. The runtime frees its descriptor in the next selection. */
     void descriptorFreed() {
-        if (!descriptorWaiters.isEmpty()) {
-            posted.addAll(descriptorWaiters);
-            descriptorWaiters.clear();
+        if (!descriptorFreedTasks.isEmpty()) {
+            postedTasks.addAll(descriptorFreedTasks);
+            descriptorFreedTasks.clear();
         }
     }
 
+    /** Ends {@link #run} after the current turn; for any thread. */
     public void stop() {
         stopping = true;
         selector.wakeup();
     }
 
+    /** Serves turns until {@link #stop}, then closes the selector. */
     public void run() throws IOException {
         while (!stopping) {
-            turn(LONGEST_WAIT_NS);
+            turn(MAX_WAIT_NS);
         }
         selector.close();
     }
 
-    /** One turn: waits for something to do, at most so long, and does it. */
-    public void turn(long longestWaitNs) throws IOException {
-        long wait = posted.isEmpty() && turnEnd.isEmpty() ? timers.untilNext(now(), longestWaitNs) : 0;
-        if (wait < 1_000_000L) {
-            selector.selectNow(this::serve);
-            if (wait > 0) { // the selector counts in milliseconds: rather early than late
-                selector.select(this::serve, 1);
+    /** One turn: waits until there is something to do, at most {@code maxWaitNs}, and does it. */
+    public void turn(long maxWaitNs) throws IOException {
+        long waitNs = postedTasks.isEmpty() && turnEndTasks.isEmpty() ? timers.untilNext(now(), maxWaitNs) : 0;
+        if (waitNs < NS_PER_MS) {
+            selector.selectNow(this::dispatch);
+            if (waitNs > 0) { // the selector counts in milliseconds: rather early than late
+                selector.select(this::dispatch, 1);
             }
         } else {
-            selector.select(this::serve, wait / 1_000_000L);
+            selector.select(this::dispatch, waitNs / NS_PER_MS);
         }
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-            guarded(task);
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+            runGuarded(task);
         }
-        long now = now();
-        for (Timer t = timers.due(now); t != null; t = timers.due(now)) {
-            guarded(t::run);
+        long nowNs = now();
+        for (Timer timer = timers.due(nowNs); timer != null; timer = timers.due(nowNs)) {
+            runGuarded(timer::run);
         }
-        while (!turnEnd.isEmpty()) { // what one brings about, such as a close, may add another
-            ArrayList<Runnable> due = turnEnd;
-            turnEnd = spare;
-            due.forEach(EventLoop::guarded);
+        while (!turnEndTasks.isEmpty()) { // a task, such as one that closes a connection, may add another
+            ArrayList<Runnable> due = turnEndTasks;
+            turnEndTasks = emptyTurnEndTasks;
+            due.forEach(EventLoop::runGuarded);
             due.clear();
-            spare = due;
+            emptyTurnEndTasks = due;
         }
     }
 
-    private void serve(SelectionKey key) {
+    private void dispatch(SelectionKey key) {
         try {
             ((Ready) key.attachment()).ready(key);
         } catch (CancelledKeyException e) {
-            LOG.log(Level.DEBUG, "a connection closed in the same turn");
+            LOG.log(Level.DEBUG, "ready event ignored reason=closed_in_same_turn");
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.ERROR, "fault on a connection", e);
-            guarded(() -> ((Ready) key.attachment()).fault(key, e));
+            LOG.log(Level.ERROR, "channel handler failed", e);
+            runGuarded(() -> ((Ready) key.attachment()).fault(key, e));
         }
     }
 
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "fault in a timer or task", e);
+            LOG.log(Level.ERROR, "task failed", e);
         }
     }
 
--- a/src/main/java/beechseam/net/Listener.java
+++ b/src/main/java/beechseam/net/Listener.java
@@ -14,65 +14,77 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** Accepts connections on one address; above its owner's bound new ones wait in the kernel's queue. */
+/**
+ * Accepts connections on one address, several a turn. While its owner does not accept, new ones wait in the
+ * kernel's queue. An accept that fails, for example for want of descriptors, is tried again after a backoff that
+ * doubles up to a limit, or as soon as a descriptor is freed.
+ */
 public final class Listener implements EventLoop.Ready {
     private static final Logger LOG = System.getLogger(Listener.class.getName());
     private static final int BACKLOG = 512;
     /**
-     * As many are accepted before others get their turn: a crowd of new ones must not wait in the kernel.
-     * Each may make room by closing another, whose descriptor the runtime keeps until the turn's end.
+     * The most accepts per turn of the loop: a burst of new connections must not wait in the kernel, nor other
+     * connections for the burst. Each accept may make room by closing another connection, whose descriptor the
+     * runtime keeps until the turn's end.
      */
     public static final int AT_ONCE = 32;
 
     /** Makes a connection object of an accepted channel. */
-    public interface Taker {
-        void take(SocketChannel channel) throws IOException;
+    public interface ConnectionAcceptor {
+        /** Takes the channel over, or throws; then the listener closes it. */
+        void accept(SocketChannel channel) throws IOException;
     }
 
-    /** A closing listener is off its selector by then, so that the last accept and the close are one. */
-    private static final long OFF_NS = 5_000_000L;
+    /** A cancelled key has left its selector after this time, so that the last accept and the close are one. */
+    private static final long DEREGISTRATION_NS = 5_000_000L;
 
-    /** The pauses after accepts that fail; the longest is short beside any client's patience. */
-    private static final long FIRST_PAUSE_NS = 10_000_000L;
+    /** Backoff after an accept that failed; the longest is short beside any client's time-out. */
+    private static final long INITIAL_BACKOFF_NS = 10_000_000L;
 
-    private static final long LONGEST_PAUSE_NS = 160_000_000L;
-    /** So long a closing listener goes on trying to take those that wait. */
-    private static final long LAST_TRIES_NS = 2_000_000_000L;
+    private static final long MAX_BACKOFF_NS = 160_000_000L;
+    /** How long a closing listener goes on retrying failed accepts. */
+    private static final long DRAIN_RETRY_LIMIT_NS = 2_000_000_000L;
 
-    /** What came of an attempt to accept a connection. */
-    private enum Accepted {
-        ONE,
-        NONE,
+    private enum AcceptResult {
+        ACCEPTED,
+        NONE_PENDING,
         FAILED
     }
 
     private final EventLoop loop;
     private final ServerSocketChannel channel;
     private final SelectionKey key;
-    private final Taker taker;
-    private final Timer pause = new Timer() {
+    private final ConnectionAcceptor acceptor;
+    private final Timer backoffTimer = new Timer() {
         @Override
         protected void fire() {
-            resume();
+            resumeAccepting();
         }
     };
-    private final Runnable retry = this::resume;
+    private final Runnable resumeAccepting = this::resumeAccepting;
     private boolean accepting = true;
-    private long pauseNs;
-    private long failures;
+    private long backoffNs;
+    private long consecutiveFailures;
 
-    public Listener(EventLoop loop, SocketAddress at, Taker taker) throws IOException {
-        this(loop, at, taker, false);
+    /** Listens on an address that no other process shares; fails where it cannot be bound. */
+    public Listener(EventLoop loop, SocketAddress at, ConnectionAcceptor acceptor) throws IOException {
+        this(loop, at, acceptor, false);
     }
 
-    /** {@code shared}: other processes may listen there too, and the kernel deals out what comes. */
-    public Listener(EventLoop loop, SocketAddress at, Taker taker, boolean shared) throws IOException {
+    /**
+     * Binds and starts to accept; fails where the address cannot be bound.
+     *
+     * @param at an internet or Unix domain address; port 0 takes a free one
+     * @param shared whether other processes may listen there too (SO_REUSEPORT); the kernel then spreads
+     *     connections over them
+     */
+    public Listener(EventLoop loop, SocketAddress at, ConnectionAcceptor acceptor, boolean shared) throws IOException {
         this.loop = loop;
-        this.taker = taker;
-        boolean local = at instanceof UnixDomainSocketAddress;
-        channel = local ? ServerSocketChannel.open(StandardProtocolFamily.UNIX) : ServerSocketChannel.open();
+        this.acceptor = acceptor;
+        boolean unixSocket = at instanceof UnixDomainSocketAddress;
+        channel = unixSocket ? ServerSocketChannel.open(StandardProtocolFamily.UNIX) : ServerSocketChannel.open();
         try {
-            if (!local) { // a restart must not wait for the last life's connections to time out
+            if (!unixSocket) { // a restart must not wait for the previous process's connections to time out
                 channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             }
             if (shared) {
@@ -87,52 +99,53 @@
         }
     }
 
+    /** The bound address; not for a Unix domain socket. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Whether new connections are taken for now. */
-    public void accepting(boolean on) {
-        accepting = on;
-        interest();
+    /** Turns accepting on or off; while off, new connections wait in the kernel's queue. */
+    public void accepting(boolean enabled) {
+        accepting = enabled;
+        updateInterestOps();
     }
 
-    private void interest() {
+    private void updateInterestOps() {
         if (key.isValid()) {
-            key.interestOps(accepting && !pause.armed() ? SelectionKey.OP_ACCEPT : 0);
+            key.interestOps(accepting && !backoffTimer.armed() ? SelectionKey.OP_ACCEPT : 0);
         }
     }
 
     @Override
     public void ready(SelectionKey ignored) {
         for (int i = 0; i < AT_ONCE && key.isValid() && key.interestOps() != 0; i++) {
-            if (acceptOne() != Accepted.ONE) {
+            if (acceptOne() != AcceptResult.ACCEPTED) {
                 return;
             }
         }
     }
 
-    private Accepted acceptOne() {
+    private AcceptResult acceptOne() {
         SocketChannel accepted;
         try {
             accepted = channel.accept();
         } catch (ClosedChannelException e) {
-            return Accepted.NONE;
+            return AcceptResult.NONE_PENDING;
         } catch (IOException e) { // out of descriptors, or of the system's memory: the listener stays
-            pauseAfter(e);
-            return Accepted.FAILED;
+            backOff(e);
+            return AcceptResult.FAILED;
         }
         if (accepted == null) {
-            return Accepted.NONE;
+            return AcceptResult.NONE_PENDING;
         }
-        recovered();
+        recordSuccess();
         try {
-            taker.take(accepted);
-            return Accepted.ONE;
+            acceptor.accept(accepted);
+            return AcceptResult.ACCEPTED;
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "an accepted connection could not be taken: " + e.getMessage());
+            LOG.log(Level.WARNING, "accepted connection dropped reason=" + e.getMessage());
             EventLoop.closeQuietly(accepted);
-            return Accepted.NONE;
+            return AcceptResult.NONE_PENDING;
         } catch (RuntimeException e) {
             EventLoop.closeQuietly(accepted);
             throw e;
@@ -140,58 +153,60 @@
     }
 
     /**
-     * A listener that cannot accept stays readable, and would be tried again at once without end: it rests,
-     * longer each time, and is tried again at the latest after that, or when a descriptor is freed.
+     * A listener that cannot accept stays readable and would be served again at once without end, so it stops
+     * being served until the backoff ends or a descriptor is freed.
      */
-    private void pauseAfter(IOException why) {
-        failures++;
-        LOG.log(failures == 1 ? Level.WARNING : Level.DEBUG, "could not accept: " + why.getMessage());
-        pauseNs = pauseNs == 0 ? FIRST_PAUSE_NS : Math.min(2 * pauseNs, LONGEST_PAUSE_NS);
-        loop.timers.set(pause, loop.now() + pauseNs);
-        loop.whenDescriptorFreed(retry);
-        interest();
+    private void backOff(IOException why) {
+        consecutiveFailures++;
+        LOG.log(consecutiveFailures == 1 ? Level.WARNING : Level.DEBUG, "accept failed reason=" + why.getMessage());
+        backoffNs = backoffNs == 0 ? INITIAL_BACKOFF_NS : Math.min(2 * backoffNs, MAX_BACKOFF_NS);
+        loop.timers.set(backoffTimer, loop.now() + backoffNs);
+        loop.whenDescriptorFreed(resumeAccepting);
+        updateInterestOps();
     }
 
-    private void resume() {
-        loop.timers.cancel(pause);
-        interest();
+    private void resumeAccepting() {
+        loop.timers.cancel(backoffTimer);
+        updateInterestOps();
     }
 
-    private void recovered() {
-        if (failures > 0) {
-            LOG.log(Level.INFO, "accepting again after " + failures + " failures");
+    private void recordSuccess() {
+        if (consecutiveFailures > 0) {
+            LOG.log(Level.INFO, "accept recovered failures=" + consecutiveFailures);
         }
-        failures = 0;
-        pauseNs = 0;
+        consecutiveFailures = 0;
+        backoffNs = 0;
     }
 
     /**
-     * Closes once all that wait are taken: those left in the kernel's queue would be reset. A channel on a
-     * selector is closed by the next select only, and until then the kernel would go on queueing.
+     * Accepts all that wait, then closes: connections left in the kernel's queue would be reset. A channel on a
+     * selector is closed only by the next select, and until then the kernel would go on queueing, so the
+     * listener leaves its selector first.
      */
     public void closeWhenEmpty() {
         key.cancel();
-        long lastTryAt = loop.now() + LAST_TRIES_NS;
+        long retryLimitNs = loop.now() + DRAIN_RETRY_LIMIT_NS;
         loop.timers.set(
                 new Timer() {
                     @Override
                     protected void fire() {
-                        Accepted last = Accepted.ONE;
-                        while (last == Accepted.ONE) {
+                        AcceptResult last = AcceptResult.ACCEPTED;
+                        while (last == AcceptResult.ACCEPTED) {
                             last = acceptOne();
                         }
-                        if (last == Accepted.FAILED && loop.now() < lastTryAt) {
-                            loop.timers.set(this, loop.now() + pauseNs);
+                        if (last == AcceptResult.FAILED && loop.now() < retryLimitNs) {
+                            loop.timers.set(this, loop.now() + backoffNs);
                         } else {
                             close();
                         }
                     }
                 },
-                loop.now() + OFF_NS);
+                loop.now() + DEREGISTRATION_NS);
     }
 
+    /** Closes at once; connections in the kernel's queue are reset. No effect when closed. */
     public void close() {
-        loop.timers.cancel(pause);
+        loop.timers.cancel(backoffTimer);
         EventLoop.closeQuietly(channel);
     }
 }
--- a/src/test/java/beechseam/Loopback.java
+++ b/src/test/java/beechseam/Loopback.java
@@ -14,12 +14,12 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** The one helper of the socket tests: a loop turned by hand, with peers and stand-ins on loopback. */
+/** Test fixture of all socket tests: an event loop driven by the test, with clients and servers on loopback. */
 public final class Loopback implements AutoCloseable {
-    private static final long PATIENCE_NS = 20_000_000_000L;
+    private static final long WAIT_LIMIT_NS = 20_000_000_000L;
 
     public final EventLoop loop;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
 
     public Loopback() {
         try {
@@ -33,16 +33,16 @@
         return new InetSocketAddress("127.0.0.1", 0);
     }
 
-    /** Turns the loop until it holds, with far more patience than any machine needs. */
+    /** Turns the loop until the condition holds, or fails after far longer than any machine needs. */
     public void until(String what, BooleanSupplier holds) {
-        long end = System.nanoTime() + PATIENCE_NS;
+        long end = System.nanoTime() + WAIT_LIMIT_NS;
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "in vain: " + what);
             turn();
         }
     }
 
-    /** A few turns in which nothing more is expected. */
+    /** Turns the loop for this many ms, in which nothing more is expected. */
     public void settle(long ms) {
         for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end; ) {
             turn();
@@ -57,11 +57,11 @@
         }
     }
 
-    /** Listens on a free port; what connects becomes a peer. */
+    /** Listens on a free port; each connection accepted is added to the list. */
     public InetSocketAddress standIn(List<Peer> peers) {
         try {
             Listener listener = new Listener(loop, anyPort(), channel -> peers.add(peer(channel)));
-            open.add(listener::close);
+            resources.add(listener::close);
             return listener.address();
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -77,7 +77,7 @@
     private Peer peer(SocketChannel channel) {
         try {
             Peer peer = new Peer(loop, channel);
-            open.add(peer::close);
+            resources.add(peer::close);
             return peer;
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -86,7 +86,7 @@
 
     @Override
     public void close() {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : resources) {
             try {
                 each.close();
             } catch (Exception e) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** The other end of a connection: says what it is told to and notes what it hears. */
+    /** The remote end of a connection: sends on demand and records what it receives. */
     public static final class Peer extends Connection {
         private final StringBuilder heard = new StringBuilder();
         public boolean gone;
@@ -112,7 +112,7 @@
 
         @Override
         protected long maxUnwrittenBytes() {
-            return 1L << 30; // a stand-in may have much to say
+            return 1L << 30; // a test server may send much
         }
 
         void open(InetSocketAddress to) {
@@ -128,14 +128,14 @@
             return heard.toString();
         }
 
-        /** What has been heard, and forgets it. */
+        /** Removes and returns what has been received. */
         public String take() {
             String all = heard.toString();
             heard.setLength(0);
             return all;
         }
 
-        /** Puts back what was taken too much. */
+        /** Puts back the unused rest of {@link #take}. */
         public void unread(String rest) {
             heard.insert(0, rest);
         }
--- a/src/test/java/beechseam/net/ConnectionTest.java
+++ b/src/test/java/beechseam/net/ConnectionTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionTest {
-    /** Counts how often it is told of its loss, and counted out. */
-    private abstract static class Counted extends Connection {
+    /** Counts the calls of {@link #lost} and of {@link #released}. */
+    private abstract static class CountingConnection extends Connection {
         private final int[] ends;
 
-        Counted(EventLoop loop, int maxReadBytes, int[] ends) throws IOException {
+        CountingConnection(EventLoop loop, int maxReadBytes, int[] ends) throws IOException {
             super(loop, null, maxReadBytes);
             this.ends = ends;
         }
@@ -38,7 +38,7 @@
 
     /** The first start on the bench crashed here: the discovery client wrote before its connect was done. */
     @Test
-    void bytesWrittenBeforeItIsUpWaitForIt() {
+    void outputWrittenWhileConnectingIsSentOnceConnected() {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> accepted = new ArrayList<>();
             Loopback.Peer early = net.dial(net.standIn(accepted)).say("early");
@@ -49,15 +49,15 @@
         }
     }
 
-    /** Random steps of both ends against a plain model: bytes in order, one end, nothing after it. */
+    /** Random steps of both ends against a model: bytes in order, one close, nothing after it. */
     @Property(seed = "77", tries = 60)
-    void bytesComeInOrderAndTheEndOnce(@ForAll long seed) throws IOException {
+    void outputArrivesInOrderAndCloseIsReportedOnce(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> far = new ArrayList<>();
             StringBuilder sent = new StringBuilder();
             int[] ends = {0, 0}; // told of the loss, counted out
-            Connection near = new Counted(net.loop, 64 * 1024, ends) {
+            Connection near = new CountingConnection(net.loop, 64 * 1024, ends) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     assertFalse(closed());
@@ -106,14 +106,14 @@
         }
     }
 
-    /** Hundreds that send half a message each must not fill the heap: the one too many is cut off. */
+    /** Hundreds of peers that each send half a message must not fill the heap: the one over the limit is closed. */
     @Test
-    void longMessagesThatNobodyUsesUpAreBoundedTogether() throws IOException {
+    void largeReadBuffersShareOneLimit() throws IOException {
         Buffers buffers = new Buffers(5 * 16 * 1024);
         List<ByteBuffer> lent = new ArrayList<>();
-        for (ByteBuffer b; (b = buffers.grow(buffers.acquire().put((byte) 7), 16 * 1024)) != null; ) {
-            assertEquals(1, b.position(), "it holds what the other held");
-            lent.add(b);
+        for (ByteBuffer larger; (larger = buffers.grow(buffers.acquire().put((byte) 7), 16 * 1024)) != null; ) {
+            assertEquals(1, larger.position(), "it holds what the other held");
+            lent.add(larger);
         }
         assertEquals(5, lent.size());
         buffers.release(lent.remove(0));
@@ -143,13 +143,13 @@
         }
     }
 
-    /** What throws while it reads costs its own connection, and its owner hears so. */
+    /** An exception while reading costs only its own connection, and the owner is notified. */
     @Test
-    void aFaultInACallbackEndsTheConnectionForItsOwnerToo() throws IOException {
+    void exceptionInCallbackClosesConnectionAndNotifiesOwner() throws IOException {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> far = new ArrayList<>();
             int[] ends = {0, 0};
-            Connection near = new Counted(net.loop, 1024, ends) {
+            Connection near = new CountingConnection(net.loop, 1024, ends) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     throw new IllegalStateException("test");
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void aRefusedConnectIsLostOnce() {
+    void failedConnectIsReportedOnce() {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> accepted = new ArrayList<>();
             java.net.InetSocketAddress free;
