--- a/src/main/java/beechseam/http/HttpParser.java
+++ b/src/main/java/beechseam/http/HttpParser.java
@@ -3,33 +3,48 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads one HTTP/1.1 message after the other from a connection's buffer. A message's parts are slices of
- * that buffer. Between calls it keeps only how far the head has been searched and the chunks have been
- * followed, so that a message costs time in proportion to its length, in however many pieces it comes.
+ * A decoder of HTTP/1.1 messages that come one after the other in a connection's buffer. The parts of a message
+ * are slices of that buffer. The buffer may move between calls, so the head is read again by each call that has
+ * it whole; only relative offsets are kept: how far the end of the head was searched for and the chunks followed.
  */
 public final class HttpParser {
+    /** The longest head, in bytes. */
     public static final int MAX_HEAD = 16 * 1024;
-    /** The longest body of a job, by the platform's protocol. */
+    /** The longest body of a job, in bytes, by the platform's protocol. */
     public static final int MAX_BODY = 64 * 1024;
-    /** The frames of a chunked body may add this share of the longest body. */
-    private static final int FRAME_SHARE = 8;
-    /** The most that the buffer of a connection for jobs must hold. */
+    /** The frames of a chunked body may add 1/8 of the longest body. */
+    private static final int FRAMING_DIVISOR = 8;
+    /** The most bytes that the buffer of a connection for jobs must hold. */
     public static final int MAX_MESSAGE = maxMessage(MAX_BODY);
 
-    private static final int MAX_CHUNK_LINE = 1024;
-    private static final int MAX_HEADERS = 64;
+    private static final int MAX_STATUS = 999;
+    private static final long MAX_LENGTH = Long.MAX_VALUE / 100;
+    private static final int ACCEPTED = 202;
+
+    private enum State {
+        HEAD,
+        FRAMING,
+        FIXED_LENGTH_BODY,
+        CHUNKED_BODY,
+        COMPLETE
+    }
 
     private final boolean request;
     private final int maxBody;
-    private final Slice[] names = new Slice[MAX_HEADERS];
-    private final Slice[] values = new Slice[MAX_HEADERS];
-    private int count;
-    private int searched;
-    /** Offset from the message's start of the first chunk that has not come whole; 0 before the first. */
-    private int nextChunk;
+    private final HeaderTable headers = new HeaderTable();
+    private final ChunkedBody chunks;
+    /** Bytes of the head searched for its end. */
+    private int searchedBytes;
+
+    private State state = State.HEAD;
+    private byte[] bytes;
+    private int messageStart;
+    private int limit;
+    /** Index behind what has been parsed. */
+    private int position;
+
+    private int bodyLength;
 
-    private int chunkedLength;
-    private byte[] b;
     private Slice method = Slice.EMPTY;
     private Slice target = Slice.EMPTY;
     private Slice body = Slice.EMPTY;
@@ -37,80 +52,98 @@
     private boolean keepAlive;
     private boolean untilClose;
 
-    /** For messages with bodies of jobs. */
+    /** A parser of messages with bodies of jobs, of up to {@link #MAX_BODY} bytes. */
     public HttpParser(boolean request) {
         this(request, MAX_BODY);
     }
 
     /**
+     * A parser with a limit of its own.
+     *
      * @param request whether it reads requests, or else responses
-     * @param maxBody the longest body in bytes; a longer one is refused, and both lengths are told
+     * @param maxBody the longest body in bytes; a longer one fails with both lengths in the message
      */
     public HttpParser(boolean request, int maxBody) {
         this.request = request;
         this.maxBody = maxBody;
+        this.chunks = new ChunkedBody(maxBody, maxBody / FRAMING_DIVISOR);
     }
 
     /** The most bytes that a buffer must hold for a message whose body has up to {@code maxBody} bytes. */
     public static int maxMessage(int maxBody) {
-        return MAX_HEAD + maxBody + maxBody / FRAME_SHARE;
+        return MAX_HEAD + maxBody + maxBody / FRAMING_DIVISOR;
     }
 
-    /** Takes a whole message off the buffer; false when more bytes are needed. */
+    /**
+     * Takes one whole message off the buffer, which must be backed by an array; false, and the position
+     * unchanged, when more bytes are needed.
+     *
+     * @throws HttpException where the input is malformed or too long; the parser is of no use afterwards
+     */
     public boolean parse(ByteBuffer in) throws HttpException {
-        b = in.array();
-        int from = in.arrayOffset() + in.position();
-        int to = in.arrayOffset() + in.limit();
-        int start = from;
+        bytes = in.array();
+        messageStart = in.arrayOffset() + in.position();
+        limit = in.arrayOffset() + in.limit();
+        state = State.HEAD;
+        while (state != State.COMPLETE) {
+            boolean advanced = switch (state) {
+                case HEAD -> readHead();
+                case FRAMING -> chooseFraming();
+                case FIXED_LENGTH_BODY -> readFixedLengthBody();
+                case CHUNKED_BODY -> readChunkedBody();
+                case COMPLETE -> throw new IllegalStateException("complete");
+            };
+            if (!advanced) {
+                return false;
+            }
+        }
+        in.position(position - in.arrayOffset());
+        searchedBytes = 0;
+        chunks.reset();
+        return true;
+    }
+
+    private boolean readHead() throws HttpException {
+        int start = messageStart;
         if (request) { // a stray line end between requests is passed over
-            while (start < to && (b[start] == '\r' || b[start] == '\n')) {
+            while (start < limit && (bytes[start] == '\r' || bytes[start] == '\n')) {
                 start++;
             }
         }
-        int headEnd = endOfHead(start, to);
-        if (headEnd < 0) {
-            if (to - start > MAX_HEAD) {
-                throw new HttpException(431, "the head is longer than " + MAX_HEAD + " bytes");
-            }
-            return false;
+        int end = ByteSearch.endOfHead(bytes, start + Math.max(0, searchedBytes - 3), limit);
+        if (end < 0) {
+            searchedBytes = limit - start;
         }
-        if (headEnd - start > MAX_HEAD) {
+        if ((end < 0 ? limit : end) - start > MAX_HEAD) {
             throw new HttpException(431, "the head is longer than " + MAX_HEAD + " bytes");
         }
-        head(start, headEnd);
-        int end = body(from, headEnd, to);
         if (end < 0) {
             return false;
         }
-        in.position(end - in.arrayOffset());
-        searched = 0;
-        nextChunk = 0;
-        chunkedLength = 0;
-        return true;
-    }
-
-    private int endOfHead(int start, int to) {
-        for (int i = start + Math.max(0, searched - 3); i + 3 < to; i++) {
-            if (b[i] == '\r' && b[i + 1] == '\n' && b[i + 2] == '\r' && b[i + 3] == '\n') {
-                return i + 4;
-            }
+        int line = ByteSearch.indexOfLineEnd(bytes, start, end);
+        readFirstLine(start, line);
+        headers.clear();
+        for (int at = line + 2; at < end - 2; at = line + 2) {
+            line = ByteSearch.indexOfLineEnd(bytes, at, end);
+            headers.add(bytes, at, line);
         }
-        searched = to - start;
-        return -1;
+        position = end;
+        state = State.FRAMING;
+        return true;
     }
 
-    private void head(int start, int end) throws HttpException {
-        int line = lineEnd(start, end);
-        int first = find(' ', start, line);
-        int second = first < 0 ? -1 : find(' ', first + 1, line);
-        if (first <= start || request && (second <= first + 1 || find(' ', second + 1, line) >= 0)) {
+    private void readFirstLine(int start, int line) throws HttpException {
+        int first = ByteSearch.indexOf(bytes, ' ', start, line);
+        int second = first < 0 ? -1 : ByteSearch.indexOf(bytes, ' ', first + 1, line);
+        if (first <= start
+                || request && (second <= first + 1 || ByteSearch.indexOf(bytes, ' ', second + 1, line) >= 0)) {
             throw new HttpException(400, "a malformed first line");
         }
         Slice version;
         if (request) {
-            method = new Slice(b, start, first - start);
-            target = new Slice(b, first + 1, second - first - 1);
-            version = new Slice(b, second + 1, line - second - 1);
+            method = new Slice(bytes, start, first - start);
+            target = new Slice(bytes, first + 1, second - first - 1);
+            version = new Slice(bytes, second + 1, line - second - 1);
             if (!method.isToken()) {
                 throw new HttpException(400, "a malformed method");
             }
@@ -118,63 +151,32 @@
                 throw new HttpException(400, "a malformed target");
             }
         } else {
-            version = new Slice(b, start, first - start);
-            status = (int) number(new Slice(b, first + 1, (second < 0 ? line : second) - first - 1), 999);
+            version = new Slice(bytes, start, first - start);
+            status = (int) number(new Slice(bytes, first + 1, (second < 0 ? line : second) - first - 1), MAX_STATUS);
         }
         if (!version.same("HTTP/1.1") && !version.same("HTTP/1.0")) {
             throw new HttpException(request ? 505 : 400, "not HTTP/1.1");
         }
-        keepAlive = b[version.from() + 7] != '0';
-        count = 0;
-        for (int at = line + 2; at < end - 2; at = line + 2) {
-            line = lineEnd(at, end);
-            header(at, line);
-        }
+        keepAlive = bytes[version.from() + 7] != '0';
     }
 
-    private void header(int at, int line) throws HttpException {
-        int colon = find(':', at, line);
-        // No blanks, line ends or odd bytes in a name: peers differ in what they take such a line for.
-        if (colon <= at || !new Slice(b, at, colon - at).isToken()) {
-            throw new HttpException(400, "a malformed header line");
-        }
-        if (count == MAX_HEADERS) {
-            throw new HttpException(431, "more than " + MAX_HEADERS + " headers");
-        }
-        int from = colon + 1;
-        int to = line;
-        while (from < to && (b[from] == ' ' || b[from] == '\t')) {
-            from++;
-        }
-        while (to > from && (b[to - 1] == ' ' || b[to - 1] == '\t')) {
-            to--;
-        }
-        for (int i = from; i < to; i++) { // a bare line end inside could smuggle a header past us
-            if (b[i] >= 0 && b[i] < ' ' && b[i] != '\t' || b[i] == 127) {
-                throw new HttpException(400, "a malformed header value");
-            }
-        }
-        names[count] = new Slice(b, at, colon - at);
-        values[count++] = new Slice(b, from, to - from);
-    }
-
-    private int body(int message, int from, int to) throws HttpException {
-        Slice connection = header("connection");
+    private boolean chooseFraming() throws HttpException {
+        Slice connection = headers.get("connection");
         if (connection != null) {
             keepAlive = connection.lists("close") ? false : keepAlive || connection.lists("keep-alive");
         }
         long length = -1;
         boolean chunked = false;
         untilClose = false;
-        for (int i = 0; i < count; i++) {
-            if (names[i].is("content-length")) {
-                long each = number(values[i], Long.MAX_VALUE / 100);
+        for (int i = 0; i < headers.count(); i++) {
+            if (headers.name(i).is("content-length")) {
+                long value = number(headers.value(i), MAX_LENGTH);
                 if (length >= 0) { // also where both are the same: nobody sends that by mistake
                     throw new HttpException(400, "conflicting lengths");
                 }
-                length = each;
-            } else if (names[i].is("transfer-encoding")) {
-                if (chunked || !values[i].is("chunked")) {
+                length = value;
+            } else if (headers.name(i).is("transfer-encoding")) {
+                if (chunked || !headers.value(i).is("chunked")) {
                     throw new HttpException(request ? 501 : 400, "an unknown transfer encoding");
                 }
                 chunked = true;
@@ -183,161 +185,77 @@
         if (chunked && length >= 0) {
             throw new HttpException(400, "conflicting lengths");
         }
-        if (length > maxBody) {
-            throw tooLong(length);
-        }
+        checkBodyLength(length);
         if (chunked) {
-            return chunks(message, from, to);
-        }
-        if (length < 0 && !request && status != 204 && status != 304 && status != 202 && status >= 200) {
-            untilClose = true;
-            length = to - from;
-            if (length > maxBody) {
-                throw tooLong(length);
-            }
-        }
-        if (length < 0 && !request && status == 202) {
-            keepAlive = false; // its body, if any, has no end that could be seen
-        }
-        int size = (int) Math.max(0, length);
-        if (to - from < size) {
-            return -1;
+            state = State.CHUNKED_BODY;
+            return true;
         }
-        body = new Slice(b, from, size);
-        return from + size;
-    }
-
-    private HttpException tooLong(long length) {
-        return new HttpException(413, "a body of " + length + " bytes or more; " + maxBody + " is the most");
+        bodyLength = (int) Math.max(0, length < 0 && !request ? lengthWithoutHeader() : length);
+        state = State.FIXED_LENGTH_BODY;
+        return true;
     }
 
-    /** Finds the end of a chunked body, and only then draws the chunks together in place. */
-    private int chunks(int message, int from, int to) throws HttpException {
-        int at = Math.max(from, message + nextChunk);
-        while (true) {
-            int line = find('\n', at, to);
-            if (line < 0) {
-                if (to - at > MAX_CHUNK_LINE) {
-                    throw new HttpException(400, "a malformed chunk");
-                }
-                return -1;
-            }
-            if (line == at || b[line - 1] != '\r') { // a bare line end: others may see another chunk
-                throw new HttpException(400, "a malformed chunk");
-            }
-            int size = chunkSize(at, line);
-            int total = chunkedLength + size;
-            if (total > maxBody) {
-                throw tooLong(total);
-            }
-            int frames = line + 1 - from - total;
-            if (frames > maxBody / FRAME_SHARE) {
-                throw new HttpException(
-                        413,
-                        "chunks whose frames take " + frames + " bytes or more; " + maxBody / FRAME_SHARE
-                                + " is the most");
-            }
-            if (size == 0) {
-                return trailers(from, line + 1, to);
-            }
-            int end = line + 1 + size;
-            if (to - end < 2) {
-                return -1;
-            }
-            if (b[end] != '\r' || b[end + 1] != '\n') {
-                throw new HttpException(400, "a malformed chunk");
-            }
-            at = end + 2;
-            nextChunk = at - message;
-            chunkedLength = total;
+    /** Bytes of the body of a response without a length: all that has come where it ends with the connection. */
+    private int lengthWithoutHeader() throws HttpException {
+        if (status == ACCEPTED) {
+            keepAlive = false; // its body, if any, has no end that could be seen
+            return 0;
         }
+        if (status == 204 || status == 304 || status < 200) {
+            return 0;
+        }
+        untilClose = true;
+        checkBodyLength(limit - position);
+        return limit - position;
     }
 
-    /** Passes over the trailers; the chunks, which begin at {@code from}, have all come. */
-    private int trailers(int from, int trailer, int to) throws HttpException {
-        int at = trailer;
-        for (boolean last = false; !last; ) {
-            int line = find('\n', at, to);
-            if (line < 0) {
-                return -1;
-            }
-            if (line == at || b[line - 1] != '\r') {
-                throw new HttpException(400, "a malformed trailer");
-            }
-            last = line - at == 1;
-            at = line + 1;
+    private void checkBodyLength(long length) throws HttpException {
+        if (length > maxBody) {
+            throw HttpException.bodyTooLong(length, maxBody);
         }
-        joinChunks(from, to);
-        return at;
     }
 
-    private void joinChunks(int from, int to) throws HttpException {
-        int read = from;
-        int write = from;
-        for (int size; (size = chunkSize(read, find('\n', read, to))) > 0; ) {
-            int data = find('\n', read, to) + 1;
-            System.arraycopy(b, data, b, write, size);
-            write += size;
-            read = data + size + 2;
+    private boolean readFixedLengthBody() {
+        if (limit - position < bodyLength) {
+            return false;
         }
-        body = new Slice(b, from, chunkedLength);
+        body = new Slice(bytes, position, bodyLength);
+        position += bodyLength;
+        state = State.COMPLETE;
+        return true;
     }
 
-    private int chunkSize(int at, int line) throws HttpException {
-        int size = 0;
-        int digits = 0;
-        for (int i = at; i < line - 1 && b[i] != ';'; i++) {
-            int digit = Character.digit(b[i], 16);
-            if (digit < 0 || ++digits > 6) {
-                throw new HttpException(400, "a malformed chunk");
-            }
-            size = size * 16 + digit;
-        }
-        if (digits == 0) {
-            throw new HttpException(400, "a malformed chunk");
+    private boolean readChunkedBody() throws HttpException {
+        if (!chunks.decode(bytes, messageStart, position, limit)) {
+            return false;
         }
-        return size;
+        body = chunks.body();
+        position = chunks.end();
+        state = State.COMPLETE;
+        return true;
     }
 
-    private static long number(Slice s, long most) throws HttpException {
-        long n = 0;
-        for (int i = 0; i < s.length(); i++) {
-            int digit = s.bytes()[s.from() + i] - '0';
+    private static long number(Slice text, long max) throws HttpException {
+        long number = 0;
+        for (int i = 0; i < text.length(); i++) {
+            int digit = text.bytes()[text.from() + i] - '0';
             if (digit < 0 || digit > 9) {
                 throw new HttpException(400, "a malformed number");
             }
-            n = Math.min(most, n * 10 + digit);
+            number = Math.min(max, number * 10 + digit);
         }
-        if (s.length() == 0) {
+        if (text.length() == 0) {
             throw new HttpException(400, "a malformed number");
         }
-        return n;
+        return number;
     }
 
-    private int lineEnd(int from, int to) {
-        for (int i = from; i + 1 < to; i++) {
-            if (b[i] == '\r' && b[i + 1] == '\n') {
-                return i;
-            }
-        }
-        return to;
-    }
-
-    private int find(char c, int from, int to) {
-        for (int i = from; i < to; i++) {
-            if (b[i] == c) {
-                return i;
-            }
-        }
-        return -1;
-    }
-
-    // ---- The message last read
-
+    /** The request's method; all parts of a message are void once the buffer moves. */
     public Slice method() {
         return method;
     }
 
+    /** The request's target, with its query. */
     public Slice target() {
         return target;
     }
@@ -348,30 +266,28 @@
         return query < 0 ? target : target.part(0, query);
     }
 
+    /** The response's status code, 0 to 999. */
     public int status() {
         return status;
     }
 
+    /** The body, decoded; empty where there is none. */
     public Slice body() {
         return body;
     }
 
+    /** Whether the connection may be used for a further message. */
     public boolean keepAlive() {
         return keepAlive;
     }
 
-    /** A response whose body ends with the connection: what has come so far is in {@link #body}. */
+    /** Whether the response's body ends with the connection: {@link #body} is what has come so far. */
     public boolean untilClose() {
         return untilClose;
     }
 
-    /** A header's value by its name in lower case, or null. */
+    /** A header's first value by its name in lower case, or null. */
     public Slice header(String lower) {
-        for (int i = 0; i < count; i++) {
-            if (names[i].is(lower)) {
-                return values[i];
-            }
-        }
-        return null;
+        return headers.get(lower);
     }
 }
--- a/src/main/java/beechseam/http/HttpWriter.java
+++ b/src/main/java/beechseam/http/HttpWriter.java
@@ -3,11 +3,16 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes heads of HTTP/1.1 messages. */
+/** An encoder of whole HTTP/1.1 messages. */
 public final class HttpWriter {
     private HttpWriter() {}
 
-    /** A whole response; {@code headers} are further header lines, each with its line end. */
+    /**
+     * A whole response.
+     *
+     * @param headers further header lines, each with its CR LF; may be empty
+     * @param close whether to announce that the connection will be closed
+     */
     public static ByteBuffer response(int status, String headers, byte[] body, boolean close) {
         StringBuilder head = new StringBuilder(128)
                 .append("HTTP/1.1 ")
@@ -25,7 +30,12 @@
         return message(head.append("\r\n"), body);
     }
 
-    /** A whole request; {@code headers} are further header lines, each with its line end. */
+    /**
+     * A whole request.
+     *
+     * @param headers further header lines, each with its CR LF; may be empty
+     * @param body may be empty
+     */
     public static ByteBuffer request(String method, String target, String host, String headers, byte[] body) {
         StringBuilder head = new StringBuilder(256)
                 .append(method)
--- a/src/main/java/beechseam/http/Slice.java
+++ b/src/main/java/beechseam/http/Slice.java
@@ -2,45 +2,49 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A run of bytes in a buffer; void once the buffer moves on. */
+/**
+ * A range of bytes in a buffer, read as ISO 8859-1; void once the buffer moves on.
+ *
+ * @param from index of the first byte in the array
+ */
 public record Slice(byte[] bytes, int from, int length) {
     static final Slice EMPTY = new Slice(new byte[0], 0, 0);
 
-    /** Whether it is this word, whatever the case; the word is in lower case. */
+    /** Whether it equals this word, ignoring ASCII case; the argument must be in lower case. */
     public boolean is(String lower) {
         if (length != lower.length()) {
             return false;
         }
         for (int i = 0; i < length; i++) {
-            int c = bytes[from + i];
-            if ((c >= 'A' && c <= 'Z' ? c + 32 : c) != lower.charAt(i)) {
+            int character = bytes[from + i];
+            if ((character >= 'A' && character <= 'Z' ? character + 32 : character) != lower.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether it is exactly this text. */
+    /** Whether it equals this ASCII text, case included. */
     public boolean same(String text) {
         return length == text.length() && startsWith(text);
     }
 
-    /** Whether it is a word as methods and header names are: letters, digits and some signs. */
+    /** Whether it is a token (RFC 9110, 5.6.2), as methods and header names are; an empty one is not. */
     public boolean isToken() {
         for (int i = from; i < from + length; i++) {
-            int c = bytes[i];
-            boolean good = c >= 'a' && c <= 'z'
-                    || c >= 'A' && c <= 'Z'
-                    || c >= '0' && c <= '9'
-                    || c > 0 && "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
-            if (!good) {
+            int character = bytes[i];
+            boolean allowed = character >= 'a' && character <= 'z'
+                    || character >= 'A' && character <= 'Z'
+                    || character >= '0' && character <= '9'
+                    || character > 0 && "!#$%&'*+-.^_`|~".indexOf(character) >= 0;
+            if (!allowed) {
                 return false;
             }
         }
         return length > 0;
     }
 
-    /** Whether it is not empty and holds visible ASCII characters only, and no blank. */
+    /** Whether it is not empty and holds only visible ASCII characters, no blank among them. */
     public boolean isVisible() {
         for (int i = from; i < from + length; i++) {
             if (bytes[i] <= ' ' || bytes[i] == 127) {
@@ -50,6 +54,7 @@
         return length > 0;
     }
 
+    /** Whether it begins with this ASCII text, case included. */
     public boolean startsWith(String text) {
         if (length < text.length()) {
             return false;
@@ -62,30 +67,32 @@
         return true;
     }
 
-    /** Whether a comma-separated list holds this word, in lower case. */
+    /** Whether it is a comma-separated list with this element, ignoring case. */
     public boolean lists(String lower) {
-        for (String each : toString().split(",")) {
-            if (each.trim().equalsIgnoreCase(lower)) {
+        for (String element : toString().split(",")) {
+            if (element.trim().equalsIgnoreCase(lower)) {
                 return true;
             }
         }
         return false;
     }
 
-    public int indexOf(char c) {
+    /** Offset of the first such character from the start of this slice, or -1. */
+    public int indexOf(char wanted) {
         for (int i = 0; i < length; i++) {
-            if (bytes[from + i] == c) {
+            if (bytes[from + i] == wanted) {
                 return i;
             }
         }
         return -1;
     }
 
+    /** The bytes between two offsets from the start of this slice, {@code end} exclusive; not copied. */
     public Slice part(int start, int end) {
         return new Slice(bytes, from + start, end - start);
     }
 
-    /** A copy that outlives the buffer. */
+    /** A copy of the bytes that outlives the buffer. */
     public byte[] copy() {
         return java.util.Arrays.copyOfRange(bytes, from, from + length);
     }
--- a/src/test/java/beechseam/http/HttpParserTest.java
+++ b/src/test/java/beechseam/http/HttpParserTest.java
@@ -18,9 +18,9 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** However the bytes of a row of requests are cut, the same requests come out. */
+    /** However a sequence of requests is fragmented, the same requests are parsed. */
     @Property(seed = "8081", tries = 300)
-    void anyCutOfTheBytesGivesTheSameMessages(@ForAll long seed) throws HttpException {
+    void messagesDoNotDependOnFragmentation(@ForAll long seed) throws HttpException {
         Random random = new Random(seed);
         StringBuilder sent = new StringBuilder();
         List<String> expected = new ArrayList<>();
@@ -52,17 +52,17 @@
         }
         HttpParser parser = new HttpParser(true);
         List<String> got = new ArrayList<>();
-        ByteBuffer held = ByteBuffer.allocate(1 << 16);
+        ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
         for (int at = 0; at < sent.length(); ) {
             int end = Math.min(sent.length(), at + 1 + random.nextInt(30));
-            held.put(bytes(sent.substring(at, end)));
+            buffer.put(bytes(sent.substring(at, end)));
             at = end;
-            held.flip();
-            while (held.hasRemaining() && parser.parse(held)) {
+            buffer.flip();
+            while (buffer.hasRemaining() && parser.parse(buffer)) {
                 assertTrue(parser.method().same("POST"));
                 got.add(parser.target() + " " + parser.header("x-id") + " " + parser.body());
             }
-            held.compact();
+            buffer.compact();
         }
         assertEquals(expected, got);
     }
@@ -107,7 +107,7 @@
                 "400 | POST / HTTP/1.1~Transfer-Encoding: chunked~~1~abc",
                 "413 | POST / HTTP/1.1~Transfer-Encoding: chunked~~fffff~"
             })
-    void badInputIsNamedByItsStatus(int status, String input) {
+    void malformedInputFailsWithItsStatus(int status, String input) {
         HttpException e = assertThrows(
                 HttpException.class,
                 () -> new HttpParser(true)
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void longHeadsAreRefusedBeforeTheyEnd() {
+    void oversizedHeadsFailBeforeTheyEnd() {
         String long431 = "GET / HTTP/1.1\r\nX: " + "y".repeat(HttpParser.MAX_HEAD);
         assertEquals(431, assertThrows(HttpException.class, () -> new HttpParser(true).parse(bytes(long431))).status);
         String many = "GET / HTTP/1.1\r\n" + "X: y\r\n".repeat(65) + "\r\n";
@@ -125,16 +125,16 @@
     }
 
     @Test
-    void responsesKnowWhetherTheirConnectionLives() throws HttpException {
-        HttpParser p = new HttpParser(false);
-        assertTrue(p.parse(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")));
-        assertEquals(202, p.status());
-        assertTrue(p.keepAlive());
-        assertTrue(p.parse(bytes("HTTP/1.1 204 No Content\r\nConnection: Close\r\n\r\n")));
-        assertFalse(p.keepAlive());
-        assertTrue(p.parse(bytes("HTTP/1.0 200 OK\r\n\r\nrest")));
-        assertFalse(p.keepAlive());
-        assertTrue(p.untilClose());
-        assertThrows(HttpException.class, () -> p.parse(bytes("HTTP/1.1 abc OK\r\n\r\n")));
+    void keepAliveOfResponses() throws HttpException {
+        HttpParser parser = new HttpParser(false);
+        assertTrue(parser.parse(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")));
+        assertEquals(202, parser.status());
+        assertTrue(parser.keepAlive());
+        assertTrue(parser.parse(bytes("HTTP/1.1 204 No Content\r\nConnection: Close\r\n\r\n")));
+        assertFalse(parser.keepAlive());
+        assertTrue(parser.parse(bytes("HTTP/1.0 200 OK\r\n\r\nrest")));
+        assertFalse(parser.keepAlive());
+        assertTrue(parser.untilClose());
+        assertThrows(HttpException.class, () -> parser.parse(bytes("HTTP/1.1 abc OK\r\n\r\n")));
     }
 }
