--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -71,7 +71,7 @@
                     .append('\t')
                     .append(f.running)
                     .append('\t')
-                    .append(f.groups.memberCount())
+                    .append(f.workers.groups.memberCount())
                     .append('\n');
         }
         return s.append(END).toString();
@@ -85,7 +85,7 @@
                 int later = priority == 1 ? f.delayed.size() : 0; // those that wait for the clock are normal ones
                 s.append('\t').append(f.queues.queuedJobs(priority) + later);
             }
-            s.append('\t').append(f.groups.memberCount()).append('\n');
+            s.append('\t').append(f.workers.groups.memberCount()).append('\n');
         }
         return s.append(END).toString();
     }
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -158,9 +158,9 @@
         if (fresh && !job.background && job.clientCount() == 0) {
             server.finished(job, Jobs.End.LEFT);
         } else if (fresh && at > server.loop.now()) {
-            f.later(job, at);
+            f.delay(job, at);
         } else if (fresh) {
-            f.enter(job);
+            f.enqueue(job);
             f.feed();
         }
     }
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -20,9 +20,12 @@
 final class GearmanJob implements Ingress, QueuedJob {
     /** Where it is; it moves down this list only, and each but ENDED holds room for its workload. */
     enum Stage {
-        CLOCK,
-        LINE,
-        MODULE,
+        /** Waits until its due time. */
+        DELAYED,
+        /** Waits in the queues of its function. */
+        QUEUED,
+        /** Submitted to the engine. */
+        DISPATCHED,
         ENDED
     }
 
@@ -49,7 +52,7 @@
     /** What the first worker to complete it gave, until the clients have it. */
     ByteBuffer result;
 
-    Stage stage = Stage.LINE;
+    Stage stage = Stage.QUEUED;
     /** When it was enqueued, in nanoseconds of the host's clock. */
     long enqueuedAtNs;
     /** A background submission is owed the run even when no client waits. */
@@ -96,7 +99,7 @@
 
     @Override
     public boolean isQueued() {
-        return stage == Stage.LINE;
+        return stage == Stage.QUEUED;
     }
 
     @Override
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -51,7 +51,7 @@
     private final Set<GearmanConnection> starved = new LinkedHashSet<>();
     private final Map<String, GearmanFunction> functions = new LinkedHashMap<>();
     /** Functions with waiting jobs. */
-    private final Set<GearmanFunction> hot = new LinkedHashSet<>();
+    private final Set<GearmanFunction> backlogged = new LinkedHashSet<>();
 
     private final FunctionArbiter<GearmanFunction> arbiter;
     private final Set<String> drained = new HashSet<>();
@@ -212,7 +212,7 @@
         List.copyOf(connections).forEach(each -> each.sweep(now, config.turns().stallNs()));
         retryStarved();
         for (GearmanFunction f : new ArrayList<>(functions.values())) {
-            f.rest(IDLE_NS);
+            f.suspendIfIdle(IDLE_NS);
             if (!f.awake() && f.unused() && !f.pinned) {
                 forget(f);
             }
@@ -269,11 +269,11 @@
         retired.add(f.counters());
     }
 
-    void hot(GearmanFunction f, boolean on) {
+    void setBacklogged(GearmanFunction f, boolean on) {
         if (on) {
-            hot.add(f);
+            backlogged.add(f);
         } else {
-            hot.remove(f);
+            backlogged.remove(f);
         }
     }
 
@@ -311,14 +311,14 @@
 
     /** A worker may have become free: jobs of functions that it can do go before their modules, in turns. */
     void feed(WorkerSession w) {
-        while (w.free() && !hot.isEmpty()) {
+        while (w.isAvailable() && !backlogged.isEmpty()) {
             arbiter.beginSelection(loop.now());
-            if (w.functionCount() < hot.size()) {
+            if (w.functionCount() < backlogged.size()) {
                 for (String name : w.functions()) {
                     offer(functions.get(name));
                 }
             } else {
-                for (GearmanFunction f : hot) {
+                for (GearmanFunction f : backlogged) {
                     if (w.can(f)) {
                         offer(f);
                     }
@@ -333,7 +333,7 @@
     }
 
     private void offer(GearmanFunction f) {
-        if (f.awake() && f.admits()) {
+        if (f.awake() && f.canAdmit()) {
             arbiter.offer(f);
         }
     }
@@ -367,7 +367,7 @@
 
     /** Takes it out of line, or from the module once its clients have been told. */
     private static void giveUp(GearmanJob job, Runnable tell) {
-        if (job.stage == GearmanJob.Stage.MODULE) {
+        if (job.stage == GearmanJob.Stage.DISPATCHED) {
             tell.run();
             if (job.request != null) { // null while the module is just being told of it
                 job.function.engine().clientDisconnected(job.request);
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -57,10 +57,10 @@
     private final Map<String, Run> held = new LinkedHashMap<>();
     private State state = State.AWAY;
     private Location location;
-    private Attempt parked;
+    private Attempt reserved;
     private Timer call;
     private boolean drained;
-    private boolean shownFree;
+    private boolean announcedAvailable;
     private int slots = 1;
 
     WorkerSession(GearmanServer server, long number, GearmanConnection connection) {
@@ -75,7 +75,7 @@
         return location;
     }
 
-    int held() {
+    int jobsInFlight() {
         return held.size();
     }
 
@@ -102,9 +102,9 @@
     }
 
     /** Whether it may be given a job now. */
-    boolean free() {
+    boolean isAvailable() {
         return (state == State.ASKING || state == State.ASLEEP)
-                && parked == null
+                && reserved == null
                 && !drained
                 && held.size() < server.config.bounds().slots()
                 && !connection.closed();
@@ -122,9 +122,9 @@
         if (f == null) {
             return; // it has been told why
         }
-        Member<WorkerSession> member = f.groups.join(this, location);
+        Member<WorkerSession> member = f.workers.groups.join(this, location);
         abilities.put(name, new Ability(f, member, seconds));
-        f.joined(member, this);
+        f.workers.joined(member, this);
     }
 
     /** Withdrawn: what waits for it goes elsewhere, and nothing new comes. */
@@ -133,8 +133,8 @@
         if (a == null) {
             return;
         }
-        a.function().leave(a.member());
-        if (parked != null && GearmanFunction.job(parked).function == a.function()) {
+        a.function().workers.leave(a.member());
+        if (reserved != null && GearmanFunction.job(reserved).function == a.function()) {
             giveBack(Outcome.NOT_SENT);
         }
     }
@@ -145,7 +145,7 @@
 
     void renamed() {
         location = server.location(connection.clientId());
-        abilities.values().forEach(a -> a.function().moved(a.member(), this));
+        abilities.values().forEach(a -> a.function().workers.updateLocation(a.member(), this));
         drain(server.drained(connection.clientId()));
     }
 
@@ -155,7 +155,7 @@
             return;
         }
         drained = on;
-        if (on && parked != null) {
+        if (on && reserved != null) {
             giveBack(Outcome.NOT_SENT);
         }
         refresh();
@@ -175,14 +175,14 @@
         }
         refresh();
         server.feed(this);
-        if (parked == null || drained || held.size() >= room) {
+        if (reserved == null || drained || held.size() >= room) {
             state = State.AWAY;
             refresh();
             connection.write(Packet.NO_JOB.response());
             return;
         }
-        Attempt attempt = parked;
-        parked = null;
+        Attempt attempt = reserved;
+        reserved = null;
         state = State.AWAY;
         assign(attempt, how);
     }
@@ -191,7 +191,7 @@
         disarmCall();
         abandon();
         state = State.ASLEEP;
-        if (parked != null) {
+        if (reserved != null) {
             wake();
             return;
         }
@@ -218,32 +218,32 @@
     }
 
     /**
-     * Tells the functions when it has become free, or no longer is; an attempt may be parked here before it
+     * Tells the functions when it has become free, or no longer is; an attempt may be reserved here before it
      * returns.
      */
     private void refresh() {
-        boolean now = free();
-        if (now == shownFree) {
+        boolean now = isAvailable();
+        if (now == announcedAvailable) {
             return;
         }
-        shownFree = now;
+        announcedAvailable = now;
         for (Ability a : abilities.size() < 2 ? abilities.values() : new ArrayList<>(abilities.values())) {
-            if (now && !free()) {
+            if (now && !isAvailable()) {
                 return; // it got one on the way, and all have been told
             }
             if (now && a.function().awake()) {
-                Attempt waiting = a.function().unpark(a.member());
+                Attempt waiting = a.function().workers.takePending(a.member());
                 if (waiting != null) {
-                    park(waiting);
+                    reserve(waiting);
                     return;
                 }
             }
-            a.function().free(a.member(), now);
+            a.function().workers.setAvailable(a.member(), now);
         }
         if (now) {
             for (Ability a : abilities.values()) {
-                if (free() && a.function().awake()) {
-                    a.function().handBack();
+                if (isAvailable() && a.function().awake()) {
+                    a.function().workers.returnPending();
                 }
             }
         }
@@ -251,22 +251,22 @@
 
     private void loads() {
         for (Ability a : abilities.values()) {
-            a.function().load(a.member(), held.size(), slots);
+            a.function().workers.updateLoad(a.member(), held.size(), slots);
         }
     }
 
     /** The module has placed an attempt here. */
-    void park(Attempt attempt) {
-        parked = attempt;
+    void reserve(Attempt attempt) {
+        reserved = attempt;
         attempt.exchange = this;
         refresh();
         wake();
     }
 
     /** The attempt that waits here is not wanted any more. */
-    void unpark(Attempt attempt) {
-        if (parked == attempt) {
-            parked = null;
+    void cancelReservation(Attempt attempt) {
+        if (reserved == attempt) {
+            reserved = null;
             refresh();
         }
     }
@@ -282,7 +282,7 @@
             protected void fire() { // called and not come: what waits for it never ran
                 call = null;
                 state = State.AWAY;
-                if (parked != null) {
+                if (reserved != null) {
                     giveBack(Outcome.UNREACHABLE);
                 }
             }
@@ -298,18 +298,18 @@
     }
 
     private void giveBack(Outcome outcome) {
-        Attempt attempt = parked;
-        parked = null;
+        Attempt attempt = reserved;
+        reserved = null;
         refresh();
         GearmanFunction f = GearmanFunction.job(attempt).function;
         if (outcome == Outcome.NOT_SENT) {
-            f.withhold(attempt);
+            f.workers.returnUnsent(attempt);
         } else {
             Member<WorkerSession> member = member(f);
             if (member != null) {
-                f.learned(member, outcome, 0);
+                f.workers.recordOutcome(member, outcome, 0);
             }
-            f.ended(attempt, outcome, null, null);
+            f.workers.attemptEnded(attempt, outcome, null, null);
         }
     }
 
@@ -342,8 +342,8 @@
                 protected void fire() { // the worker's own limit: it may still run there
                     run.limit = null;
                     if (!attempt.hasEnded()) {
-                        f.learned(a.member(), Outcome.TIMEOUT, 0);
-                        f.ended(attempt, Outcome.TIMEOUT, null, null);
+                        f.workers.recordOutcome(a.member(), Outcome.TIMEOUT, 0);
+                        f.workers.attemptEnded(attempt, Outcome.TIMEOUT, null, null);
                     }
                 }
             };
@@ -414,9 +414,9 @@
         forget(run);
         Member<WorkerSession> member = member(run.function);
         if (member != null && !run.attempt.hasEnded()) {
-            run.function.learned(member, outcome, server.loop.now() - run.startedAt);
+            run.function.workers.recordOutcome(member, outcome, server.loop.now() - run.startedAt);
         }
-        run.function.ended(run.attempt, outcome, null, member);
+        run.function.workers.attemptEnded(run.attempt, outcome, null, member);
     }
 
     private void forget(Run run) {
@@ -441,9 +441,9 @@
         resetAbilities();
         for (Run run : new ArrayList<>(held.values())) { // each may have run to any point
             forget(run);
-            run.function.ended(run.attempt, Outcome.LOST, null, null);
+            run.function.workers.attemptEnded(run.attempt, Outcome.LOST, null, null);
         }
-        if (parked != null) {
+        if (reserved != null) {
             giveBack(Outcome.NOT_SENT);
         }
     }
--- a/src/test/java/beechseam/gearman/GearmanFaultsTest.java
+++ b/src/test/java/beechseam/gearman/GearmanFaultsTest.java
@@ -235,7 +235,8 @@
             workers.add(w);
         }
         workers.forEach(rig::drop);
-        rig.net.until("the loss", () -> rig.server.functions().stream().allMatch(f -> f.groups.memberCount() == 0));
+        rig.net.until(
+                "the loss", () -> rig.server.functions().stream().allMatch(f -> f.workers.groups.memberCount() == 0));
         assertTrue(rig.server.jobs.size() >= 4960, "what was not held still waits");
         StandIn last =
                 rig.peer().say(Packet.CAN_DO, "safe").say(Packet.CAN_DO, "once").say(Packet.GRAB_JOB);
@@ -425,7 +426,7 @@
         String first = worker.say(Packet.GRAB_JOB).next("JOB_ASSIGN").split(" ")[0];
         worker.say(Packet.GRAB_JOB).expect("JOB_ASSIGN").say(Packet.GRAB_JOB).expect("JOB_ASSIGN");
         worker.say(Packet.GRAB_JOB).expect("NO_JOB").say(Packet.PRE_SLEEP).nothing();
-        var group = rig.server.find("f").groups.groups().iterator().next();
+        var group = rig.server.find("f").workers.groups.groups().iterator().next();
         assertEquals(3, group.slots(), "as the module is told");
         assertEquals(3, group.jobsInFlight());
         worker.say(Packet.WORK_COMPLETE, first, "").say(Packet.GRAB_JOB).expect("JOB_ASSIGN");
@@ -513,7 +514,8 @@
         StandIn maker = rig.peer().say(Packet.CAN_DO, "made").sync();
         assertTrue(rig.admin("drop function made").startsWith("ERR"), "it has a worker");
         rig.drop(maker);
-        rig.net.until("it to have none", () -> rig.server.find("made").groups.memberCount() == 0);
+        rig.net.until(
+                "it to have none", () -> rig.server.find("made").workers.groups.memberCount() == 0);
         rig.net.settle(1100); // the server looks every second for what stands empty
         assertNotNull(rig.server.find("made"), "a drop that was refused has changed nothing");
         assertEquals("OK\n", rig.admin("drop function made"));
@@ -533,12 +535,12 @@
         first.say(Packet.WORK_COMPLETE, handle, "y");
         client.expect("WORK_COMPLETE");
         GearmanFunction f = rig.server.find("f");
-        f.rest(-1);
+        f.suspendIfIdle(-1);
         assertFalse(f.awake());
         rig.drop(first);
         StandIn second = rig.peer().can("f").sync();
         StandIn third = rig.peer().can("f").sync();
-        assertEquals(0, f.groups.availableWorkers(), "not kept while it rests");
+        assertEquals(0, f.workers.groups.availableWorkers(), "not kept while it rests");
         for (StandIn w : List.of(second, third)) {
             handle = client.say(Packet.SUBMIT_JOB, "f", "", "x").next("JOB_CREATED");
             assertEquals(handle, w.grab());
@@ -547,8 +549,8 @@
         }
         rig.drop(second);
         rig.drop(third);
-        rig.net.until("it to be known that they went", () -> f.groups.memberCount() == 0);
-        assertTrue(f.groups.groups().isEmpty());
+        rig.net.until("it to be known that they went", () -> f.workers.groups.memberCount() == 0);
+        assertTrue(f.workers.groups.groups().isEmpty());
     }
 
     /** Two functions and one worker: what both wait for goes by priority, and neither is starved. */
