--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -1,5 +1,6 @@
 package beechseam.gearman;
 
+import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -31,9 +32,9 @@
             case "status" -> status();
             case "prioritystatus" -> priorityStatus();
             case "workers" -> workers();
-            case "version" -> "OK " + GearmanServer.version() + "\n";
+            case "version" -> "OK " + version() + "\n";
             case "getpid" -> "OK " + ProcessHandle.current().pid() + "\n";
-            case "verbose" -> "OK " + server.verbosity() + "\n";
+            case "verbose" -> "OK " + verbosity() + "\n";
             case "counters" -> server.figures() + "\n";
             case "maxqueue" -> maxQueue(words);
             case "create" -> create(words);
@@ -47,6 +48,21 @@
         };
     }
 
+    private static String version() {
+        String version = GearmanServer.class.getPackage().getImplementationVersion();
+        return version == null ? "0" : version;
+    }
+
+    private static String verbosity() {
+        System.Logger log = System.getLogger(GearmanServer.class.getName());
+        for (Level level : new Level[] {Level.TRACE, Level.DEBUG, Level.INFO, Level.WARNING}) {
+            if (log.isLoggable(level)) {
+                return level.name();
+            }
+        }
+        return Level.ERROR.name();
+    }
+
     /** Blanks are plus signs in the published form of errors. */
     private static String error(String code, String why) {
         return "ERR " + code + " " + why.replace(' ', '+') + "\n";
@@ -137,7 +153,7 @@
         if (words.length != 3 || !words[1].equals("function")) {
             return incomplete();
         }
-        GearmanFunction f = ClientSession.goodName(words[2]) ? server.function(words[2], null) : null;
+        GearmanFunction f = ClientSession.isValidName(words[2]) ? server.function(words[2], null) : null;
         if (f == null) {
             return error("CREATE_FUNCTION", words[2]);
         }
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -6,7 +6,6 @@
 import beechseam.gearman.protocol.Packet;
 import beechseam.gearman.queue.Admission.Rejection;
 import beechseam.gearman.queue.Schedule;
-import java.nio.ByteBuffer;
 import java.time.Instant;
 import java.time.ZoneId;
 import java.time.ZonedDateTime;
@@ -15,13 +14,13 @@
 import java.util.Set;
 
 /**
- * The client's side of a connection: what it submits, asks and waits for. Turns in line go by such sessions.
+ * The client's side of a connection: what it submits, asks and waits for. Queues are fair among such sessions.
  */
 final class ClientSession {
-    private static final int MOST_NAME = 512;
-    private static final int MOST_UNIQUE = 1024;
+    private static final int MAX_NAME_CHARS = 512;
+    private static final int MAX_UNIQUE_BYTES = 1024;
     /** Epochs further off are a mistake, such as milliseconds in place of seconds. */
-    private static final long FARTHEST_S = 10L * 365 * 24 * 3600;
+    private static final long MAX_AHEAD_S = 10L * 365 * 24 * 3600;
 
     private final GearmanServer server;
     private final GearmanConnection connection;
@@ -72,11 +71,11 @@
         long now = server.loop.now();
         try {
             long seconds = Long.parseLong(text);
-            if (seconds >= 0 && seconds <= now / 1_000_000_000L + FARTHEST_S) {
+            if (seconds >= 0 && seconds <= now / 1_000_000_000L + MAX_AHEAD_S) {
                 return Math.max(1, seconds * 1_000_000_000L);
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
         connection.error("BAD_ARGUMENTS", "SUBMIT_JOB_EPOCH needs whole seconds since 1970, at most ten years ahead");
         return 0;
@@ -101,53 +100,30 @@
     }
 
     /** Whether a name can stand in a line of an admin answer. */
-    static boolean goodName(String name) {
-        return !name.isEmpty() && name.length() <= MOST_NAME && name.chars().noneMatch(c -> c < ' ' || c == 127);
+    static boolean isValidName(String name) {
+        return !name.isEmpty()
+                && name.length() <= MAX_NAME_CHARS
+                && name.chars().noneMatch(c -> c < ' ' || c == 127);
     }
 
     /**
-     * @param load index of the workload
-     * @param at   when it is due, by the host's clock; 0 for now
+     * @param workload index of the workload among the arguments
+     * @param dueNs    when it is due, by the host's clock; 0 for now
      */
-    private void submit(Arguments args, int load, Mode mode, String reducer, long at) {
-        String name = args.text(0);
-        String unique = args.text(1);
-        if (!goodName(name) || args.length(1) > MOST_UNIQUE) {
-            connection.error(
-                    "BAD_ARGUMENTS",
-                    "a function's name has 1 to " + MOST_NAME + " characters and none that controls, a key at most "
-                            + MOST_UNIQUE + " bytes");
-            return;
-        }
-        GearmanFunction f = server.function(name, connection);
-        if (f == null) {
-            return; // it has been told why
+    private void submit(Arguments args, int workload, Mode mode, String reducer, long dueNs) {
+        GearmanFunction function = functionFor(args, mode);
+        if (function == null) {
+            return; // the client has been told why
         }
-        if (f.of(mode).idempotency() == Idempotency.KEYED && unique.isEmpty()) {
-            connection.error("NO_KEY", "jobs of this function need a unique key");
-            return;
-        }
-        Object key = unique.equals("-") ? Jobs.key(unique, args.bytes(load)) : Jobs.key(unique, null);
-        GearmanJob job = server.jobs.byKey(key, f);
-        boolean fresh = job == null;
-        if (fresh) {
-            if (server.stopping()) {
-                connection.error("QUEUE_FULL", "the server is stopping");
-                return;
-            }
-            // Bytes of the whole packet where its array is kept, and what the job costs besides.
-            int charge = Jobs.OVERHEAD + args.length(load) + args.length(1);
-            Rejection rejection =
-                    server.admission.check(server.jobs.size(), open, f.queues, mode.ordinal(), charge, server.budget);
-            if (rejection != null) {
-                connection.error(rejection.code(), rejection.reason());
+        String unique = args.text(1);
+        Object key = unique.equals("-") ? Jobs.key(unique, args.bytes(workload)) : Jobs.key(unique, null);
+        GearmanJob job = server.jobs.byKey(key, function);
+        boolean created = job == null;
+        if (created) {
+            job = create(args, workload, function, key, mode, reducer);
+            if (job == null) {
                 return;
             }
-            ByteBuffer workload = args.kept(load);
-            job = new GearmanJob(server.jobs.next(), f, unique, key, workload, mode, reducer, this, charge);
-            server.jobs.add(job);
-            open++;
-            f.alive++;
         }
         job.background |= mode.background;
         connection.write(Packet.JOB_CREATED.response(job.handle()));
@@ -155,14 +131,57 @@
         if (!mode.background && !connection.closed() && job.join(connection)) {
             waitsFor.add(job);
         }
-        if (fresh && !job.background && job.clientCount() == 0) {
+        if (created && !job.background && job.clientCount() == 0) {
             server.finished(job, Jobs.End.LEFT);
-        } else if (fresh && at > server.loop.now()) {
-            f.delay(job, at);
-        } else if (fresh) {
-            f.enqueue(job);
-            f.feed();
+        } else if (created && dueNs > server.loop.now()) {
+            function.delay(job, dueNs);
+        } else if (created) {
+            function.enqueue(job);
+            function.feed();
+        }
+    }
+
+    /** The function of a submission that is well formed; null otherwise, and the client has been told why. */
+    private GearmanFunction functionFor(Arguments args, Mode mode) {
+        String name = args.text(0);
+        if (!isValidName(name) || args.length(1) > MAX_UNIQUE_BYTES) {
+            connection.error(
+                    "BAD_ARGUMENTS",
+                    "a function's name has 1 to " + MAX_NAME_CHARS
+                            + " characters and none that controls, a key at most " + MAX_UNIQUE_BYTES + " bytes");
+            return null;
+        }
+        GearmanFunction function = server.function(name, connection);
+        if (function != null
+                && function.of(mode).idempotency() == Idempotency.KEYED
+                && args.text(1).isEmpty()) {
+            connection.error("NO_KEY", "jobs of this function need a unique key");
+            return null;
+        }
+        return function;
+    }
+
+    /** A new job within the bounds; null where it is rejected, and the client has been told why. */
+    private GearmanJob create(
+            Arguments args, int workload, GearmanFunction function, Object key, Mode mode, String reducer) {
+        if (server.stopping()) {
+            connection.error("QUEUE_FULL", "the server is stopping");
+            return null;
+        }
+        // Bytes of the whole packet where its array is kept, and what the job costs besides.
+        int charge = Jobs.OVERHEAD + args.length(workload) + args.length(1);
+        Rejection rejection = server.admission.check(
+                server.jobs.size(), open, function.queues, mode.ordinal(), charge, server.budget);
+        if (rejection != null) {
+            connection.error(rejection.code(), rejection.reason());
+            return null;
         }
+        GearmanJob job = new GearmanJob(
+                server.jobs.next(), function, args.text(1), key, args.kept(workload), mode, reducer, this, charge);
+        server.jobs.add(job);
+        open++;
+        function.alive++;
+        return job;
     }
 
     void status(String name, boolean unique) {
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -21,18 +21,18 @@
  * that write to it.
  */
 final class GearmanConnection extends Connection implements PacketDecoder.Owner {
-    private static final int MAX_LINE = 2048;
+    private static final int MAX_LINE_BYTES = 2048;
     /** Bodies up to this are taken from the read buffer; longer ones get an array of their own. */
     static final int IN_PLACE = Buffers.SIZE / 2;
     /** Unread answers from which on the peer's own requests wait. */
-    private static final int UNREAD_STOP = 256 * 1024;
+    private static final int MAX_UNREAD_BYTES = 256 * 1024;
     /** Unread data from which on the worker that writes it waits. */
-    static final int PRESSURE = 1024 * 1024;
+    static final int THROTTLE_BYTES = 1024 * 1024;
     /** Cut off for a broken frame, a peer may go on sending so much before its connection is reset. */
-    private static final long MOST_DISCARDED = 128L * 1024 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 128L * 1024 * 1024;
 
     /** Workers that wait for this client to read. */
-    private final Set<GearmanConnection> heldUp = new LinkedHashSet<>();
+    private final Set<GearmanConnection> throttledWriters = new LinkedHashSet<>();
 
     private final GearmanServer server;
     private final PacketDecoder decoder;
@@ -42,12 +42,12 @@
     /** Waits for a client of its own to read. */
     private boolean throttled;
     /** Waits until there is room for a long packet. */
-    private boolean starved;
+    private boolean awaitsMemory;
     /** Room that its unfinished long packet holds: of workloads, or of what goes to clients. */
     private int reserved;
 
     private boolean reservedForJob;
-    private boolean spoken;
+    private boolean hasReceived;
 
     GearmanConnection(GearmanServer server, SocketChannel channel) throws IOException {
         super(server.loop, channel, Buffers.SIZE);
@@ -70,8 +70,8 @@
     }
 
     /** Whether it has said anything yet. */
-    boolean spoken() {
-        return spoken;
+    boolean hasReceived() {
+        return hasReceived;
     }
 
     @Override
@@ -86,14 +86,12 @@
 
     @Override
     protected long maxDiscardedBytes() {
-        return MOST_DISCARDED;
+        return MAX_DISCARDED_BYTES;
     }
 
-    // ---- Input
-
     @Override
     protected void received(ByteBuffer in) {
-        spoken = true;
+        hasReceived = true;
         boolean more = true;
         while (more && in.hasRemaining() && !paused()) { // packets and lines may follow each other in any order
             more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : line(in);
@@ -110,7 +108,7 @@
                 return true;
             }
             if (c >= 0 && c < ' ' && c != '\r' && c != '\t'
-                    || i - in.position() > MAX_LINE
+                    || i - in.position() > MAX_LINE_BYTES
                     || i == in.position() && c < 0) {
                 broken("BAD_MAGIC", "neither a packet nor an admin line");
                 return false;
@@ -132,7 +130,7 @@
     @Override
     public void broken(String code, String why) {
         error(code, why);
-        server.dropping(this);
+        server.connectionRejected(this);
         endWhenWritten();
     }
 
@@ -147,9 +145,9 @@
             return PacketDecoder.Verdict.SKIP;
         }
         if (!job && !server.budget.reserveResult(size, server.unread())) {
-            starved = true;
-            server.starved(this);
-            rein();
+            awaitsMemory = true;
+            server.awaitMemory(this);
+            updateReadingPaused();
             return PacketDecoder.Verdict.WAIT;
         }
         reserved = size;
@@ -178,8 +176,8 @@
         }
         handle(kind, args);
         release();
-        if (unwritten() > UNREAD_STOP) {
-            rein();
+        if (unwritten() > MAX_UNREAD_BYTES) {
+            updateReadingPaused();
         }
     }
 
@@ -217,7 +215,7 @@
             case CANT_DO -> asWorker().cantDo(args.text(0));
             case RESET_ABILITIES -> asWorker().resetAbilities();
             case PRE_SLEEP -> asWorker().preSleep();
-            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> asWorker().grab(kind);
+            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> asWorker().grabJob(kind);
             case WORK_STATUS, WORK_DATA, WORK_WARNING, WORK_EXCEPTION, WORK_COMPLETE, WORK_FAIL ->
                 asWorker().work(kind, args);
             case ALL_YOURS -> asWorker(); // a promise to serve nobody else, which needs no answer
@@ -228,7 +226,7 @@
     private void canDo(String function, String seconds) {
         if (!seconds.matches("\\d{1,8}")) {
             error("BAD_ARGUMENTS", "CAN_DO_TIMEOUT needs a whole number of seconds");
-        } else if (!ClientSession.goodName(function)) {
+        } else if (!ClientSession.isValidName(function)) {
             error("BAD_ARGUMENTS", "no name for a function");
         } else {
             asWorker().canDo(function, Integer.parseInt(seconds));
@@ -247,41 +245,39 @@
         write(Packet.ERROR.response(code, message));
     }
 
-    // ---- Back pressure
-
     /** A worker has written to this client: it waits if that is far behind in reading. */
-    void holdUp(GearmanConnection writer) {
-        if (unwritten() > PRESSURE && writer != this && !closed()) {
+    void throttle(GearmanConnection writer) {
+        if (unwritten() > THROTTLE_BYTES && writer != this && !closed()) {
             writer.throttled = true;
-            heldUp.add(writer);
-            writer.rein();
+            throttledWriters.add(writer);
+            writer.updateReadingPaused();
         }
     }
 
     /** There may be room now for the long packet that waits. */
     void retry() {
-        starved = false;
-        rein();
+        awaitsMemory = false;
+        updateReadingPaused();
     }
 
     /** Whether input is read, by all that may speak against it. */
-    private void rein() {
-        pauseReading(throttled || starved || unwritten() > UNREAD_STOP);
+    private void updateReadingPaused() {
+        pauseReading(throttled || awaitsMemory || unwritten() > MAX_UNREAD_BYTES);
     }
 
     @Override
     protected void written() {
-        letGo();
-        rein();
+        releaseThrottled();
+        updateReadingPaused();
     }
 
-    private void letGo() {
-        if (!heldUp.isEmpty()) {
-            List<GearmanConnection> all = new ArrayList<>(heldUp);
-            heldUp.clear();
+    private void releaseThrottled() {
+        if (!throttledWriters.isEmpty()) {
+            List<GearmanConnection> all = new ArrayList<>(throttledWriters);
+            throttledWriters.clear();
             for (GearmanConnection each : all) {
                 each.throttled = false;
-                each.rein();
+                each.updateReadingPaused();
             }
         }
     }
@@ -302,11 +298,11 @@
     @Override
     protected void released() {
         release();
-        letGo();
+        releaseThrottled();
         session.lost();
         if (worker != null) {
             worker.lost();
         }
-        server.gone(this);
+        server.connectionReleased(this);
     }
 }
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -8,7 +8,9 @@
 import beechseam.gearman.queue.QueuedJob;
 import beechseam.gearman.queue.Schedule;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 
@@ -64,8 +66,8 @@
 
     Schedule.Ticket ticket;
     Request request;
-    /** The attempt whose data the clients are shown: of two copies only one speaks. */
-    private Attempt speaker;
+    /** The attempt whose data the clients are sent: of a job and its hedge only one is forwarded. */
+    private Attempt forwarded;
 
     private GearmanConnection client;
     private List<GearmanConnection> others;
@@ -107,16 +109,16 @@
         return enqueuedAtNs;
     }
 
-    private boolean over;
+    private boolean ended;
 
     /** Whether its end has been counted and told. */
     boolean hasEnded() {
-        return over;
+        return ended;
     }
 
     /** Nothing of it is needed any more but its name. */
     void finish() {
-        over = true;
+        ended = true;
         stage = Stage.ENDED;
         workload = EMPTY;
         result = null;
@@ -128,29 +130,27 @@
         return runs > 0;
     }
 
-    // ---- Its clients
-
     /** False when that one waits already. */
-    boolean join(GearmanConnection c) {
-        if (client == c || others != null && others.contains(c)) {
+    boolean join(GearmanConnection connection) {
+        if (client == connection || others != null && others.contains(connection)) {
             return false;
         }
         if (client == null) {
-            client = c;
+            client = connection;
         } else {
             if (others == null) {
                 others = new ArrayList<>(2);
             }
-            others.add(c);
+            others.add(connection);
         }
         return true;
     }
 
-    void leave(GearmanConnection c) {
-        if (client == c) {
+    void leave(GearmanConnection connection) {
+        if (client == connection) {
             client = others == null || others.isEmpty() ? null : others.remove(others.size() - 1);
         } else if (others != null) {
-            others.remove(c);
+            others.remove(connection);
         }
     }
 
@@ -182,9 +182,8 @@
         }
         ByteBuffer head = data == null || !data.hasRemaining() ? null : kind.responseBefore(data.remaining(), args);
         Object[] all = args;
-        if (head == null && data != null) { // an empty last argument has its NUL before it all the same
-            all = java.util.Arrays.copyOf(args, args.length + 1);
-            all[args.length] = new byte[0];
+        if (head == null && data != null) {
+            all = withEmptyLast(args);
         }
         for (GearmanConnection each : clients()) {
             if (kind != Packet.WORK_EXCEPTION || each.session().wantsExceptions()) {
@@ -197,39 +196,50 @@
         }
     }
 
-    /** Whether this attempt's data goes to the clients. */
-    boolean speaks(Attempt attempt) {
-        if (speaker == null || speaker.hasEnded()) {
-            speaker = attempt;
+    /** Sends the job to a worker; its workload is not copied. */
+    void assignTo(GearmanConnection worker, Packet kind, Object... args) {
+        if (workload.hasRemaining()) {
+            worker.write(kind.responseBefore(workload.remaining(), args), workload.duplicate());
+        } else {
+            worker.write(kind.response(withEmptyLast(args)));
         }
-        return speaker == attempt;
     }
 
-    // ---- Its final answer
+    /** An empty last argument has its NUL before it all the same. */
+    private static Object[] withEmptyLast(Object[] args) {
+        Object[] all = Arrays.copyOf(args, args.length + 1);
+        all[args.length] = new byte[0];
+        return all;
+    }
+
+    /** Whether this attempt's data goes to the clients. */
+    boolean forwardsFor(Attempt attempt) {
+        if (forwarded == null || forwarded.hasEnded()) {
+            forwarded = attempt;
+        }
+        return forwarded == attempt;
+    }
 
     @Override
-    public void served(Request r, byte[] ignored) {
+    public void served(Request request, byte[] ignored) {
         forward(Packet.WORK_COMPLETE, result, handle());
         function.server.finished(this, Jobs.End.SERVED);
     }
 
     @Override
-    public void shed(Request r, long pauseNs) {
+    public void shed(Request request, long retryAfterNs) {
         // WORK_FAIL has no room for it, so the advice goes ahead as an exception to those that asked.
         forward(
                 Packet.WORK_EXCEPTION,
-                ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s", pauseNs / 1e9)
-                        .getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+                ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s", retryAfterNs / 1e9)
+                        .getBytes(StandardCharsets.UTF_8)),
                 handle());
         fail(Jobs.End.SHED);
     }
 
     @Override
-    public void failed(Request r, String why) {
-        forward(
-                Packet.WORK_EXCEPTION,
-                ByteBuffer.wrap(("failed: " + why).getBytes(java.nio.charset.StandardCharsets.UTF_8)),
-                handle());
+    public void failed(Request request, String why) {
+        forward(Packet.WORK_EXCEPTION, ByteBuffer.wrap(("failed: " + why).getBytes(StandardCharsets.UTF_8)), handle());
         fail(Jobs.End.FAILED);
     }
 
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -22,20 +22,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /** A Gearman job server: joins connections, functions and jobs, and bounds what is held of each. */
 public final class GearmanServer {
     private static final Logger LOG = System.getLogger(GearmanServer.class.getName());
-    private static final long SWEEP_NS = 1_000_000_000L;
-    private static final long LINGER_CHECK_NS = 20_000_000L;
-    /** Time for the last answers to be read. */
-    private static final long FAREWELL_NS = 1_000_000_000L;
+    private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
     /**
      * A function that nobody has asked for so long costs nothing any more; one with no worker either is
      * forgotten.
      */
-    private static final long IDLE_NS = 10_000_000_000L;
+    private static final long IDLE_TIMEOUT_NS = 10_000_000_000L;
 
     final EventLoop loop;
     final GearmanConfig config;
@@ -48,7 +44,7 @@
     private final Counters retired = new Counters();
     private final Listener listener;
     private final Set<GearmanConnection> connections = new LinkedHashSet<>();
-    private final Set<GearmanConnection> starved = new LinkedHashSet<>();
+    private final Set<GearmanConnection> awaitingMemory = new LinkedHashSet<>();
     private final Map<String, GearmanFunction> functions = new LinkedHashMap<>();
     /** Functions with waiting jobs. */
     private final Set<GearmanFunction> backlogged = new LinkedHashSet<>();
@@ -62,11 +58,14 @@
         }
     };
     private long lastWorker;
-    private boolean stopping;
-    private long stopBy;
-    private boolean farewell;
-    private Runnable onStop = () -> {};
+    private final Shutdown shutdown = new Shutdown(this);
 
+    /**
+     * Listens at once.
+     *
+     * @param seed of the random draws of its dispatchers
+     * @throws IOException where the address cannot be bound
+     */
     public GearmanServer(EventLoop loop, GearmanConfig config, long seed) throws IOException {
         this.loop = loop;
         this.config = config;
@@ -81,10 +80,11 @@
                 .filter(name -> !name.equals(GearmanConfig.ANY))
                 .forEach(name -> make(name).pinned = true);
         listener = new Listener(loop, config.listen(), this::accept);
-        loop.timers.set(sweep, loop.now() + SWEEP_NS);
+        loop.timers.set(sweep, loop.now() + SWEEP_INTERVAL_NS);
         LOG.log(Level.INFO, config.name() + " listens for Gearman on " + listener.address());
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
@@ -93,24 +93,24 @@
     public Counters counters() {
         Counters all = new Counters();
         all.add(retired);
-        functions.values().forEach(f -> all.add(f.counters()));
+        functions.values().forEach(function -> all.add(function.counters()));
         all.badInput += badInput;
         return all;
     }
 
     /** How a job was taken and ended, for operators: accepted is alive plus all that ended. */
     public String figures() {
-        StringBuilder s = new StringBuilder("{\"accepted\":")
+        StringBuilder json = new StringBuilder("{\"accepted\":")
                 .append(jobs.accepted())
                 .append(",\"alive\":")
                 .append(jobs.size());
         for (Jobs.End end : Jobs.End.values()) {
-            s.append(",\"")
+            json.append(",\"")
                     .append(end.name().toLowerCase(java.util.Locale.ROOT))
                     .append("\":")
                     .append(jobs.ended(end));
         }
-        return s.append(",\"workload_bytes\":")
+        return json.append(",\"workload_bytes\":")
                 .append(budget.workloadBytes())
                 .append(",\"connections\":")
                 .append(connections.size())
@@ -122,22 +122,6 @@
                 .toString();
     }
 
-    static String version() {
-        String version = GearmanServer.class.getPackage().getImplementationVersion();
-        return version == null ? "0" : version;
-    }
-
-    String verbosity() {
-        for (Level level : new Level[] {Level.TRACE, Level.DEBUG, Level.INFO, Level.WARNING}) {
-            if (LOG.isLoggable(level)) {
-                return level.name();
-            }
-        }
-        return Level.ERROR.name();
-    }
-
-    // ---- Connections
-
     private void accept(SocketChannel channel) throws IOException {
         int most = config.bounds().connections();
         connections.add(new GearmanConnection(this, channel));
@@ -151,7 +135,7 @@
      */
     private boolean evictSilent() {
         for (GearmanConnection each : connections) {
-            if (!each.spoken()) {
+            if (!each.hasReceived()) {
                 each.close();
                 return true;
             }
@@ -172,56 +156,54 @@
         return sum;
     }
 
-    void starved(GearmanConnection c) {
-        starved.add(c);
+    void awaitMemory(GearmanConnection connection) {
+        awaitingMemory.add(connection);
     }
 
-    private void retryStarved() {
-        if (!starved.isEmpty()) {
-            List<GearmanConnection> all = new ArrayList<>(starved);
-            starved.clear();
+    private void retryAwaitingMemory() {
+        if (!awaitingMemory.isEmpty()) {
+            List<GearmanConnection> all = new ArrayList<>(awaitingMemory);
+            awaitingMemory.clear();
             all.forEach(GearmanConnection::retry);
         }
     }
 
     /** A worker has sent data of a job: it waits for clients that are far behind in reading. */
-    void pressure(GearmanConnection writer, GearmanJob job) {
+    void throttleForClients(GearmanConnection writer, GearmanJob job) {
         if (job.clientCount() > 0) {
             for (GearmanConnection each : job.clients()) {
-                each.holdUp(writer);
+                each.throttle(writer);
             }
         }
     }
 
     /** It is being cut off; what it waits for goes on without it. */
-    void dropping(GearmanConnection c) {
-        LOG.log(Level.DEBUG, "cut off for what it sent: " + c.peer());
+    void connectionRejected(GearmanConnection connection) {
+        LOG.log(Level.DEBUG, "connection closed reason=bad_input peer=" + connection.peer());
     }
 
-    void gone(GearmanConnection connection) {
+    void connectionReleased(GearmanConnection connection) {
         connections.remove(connection);
-        starved.remove(connection);
-        if (connections.size() < config.bounds().connections() && !stopping) {
+        awaitingMemory.remove(connection);
+        if (connections.size() < config.bounds().connections() && !stopping()) {
             listener.accepting(true);
         }
-        retryStarved();
+        retryAwaitingMemory();
     }
 
     private void sweep() {
         long now = loop.now();
         List.copyOf(connections).forEach(each -> each.sweep(now, config.turns().stallNs()));
-        retryStarved();
-        for (GearmanFunction f : new ArrayList<>(functions.values())) {
-            f.suspendIfIdle(IDLE_NS);
-            if (!f.awake() && f.unused() && !f.pinned) {
-                forget(f);
+        retryAwaitingMemory();
+        for (GearmanFunction function : new ArrayList<>(functions.values())) {
+            function.suspendIfIdle(IDLE_TIMEOUT_NS);
+            if (!function.awake() && function.unused() && !function.pinned) {
+                forget(function);
             }
         }
-        loop.timers.set(sweep, now + SWEEP_NS);
+        loop.timers.set(sweep, now + SWEEP_INTERVAL_NS);
     }
 
-    // ---- Functions
-
     Collection<GearmanFunction> functions() {
         return functions.values();
     }
@@ -235,9 +217,9 @@
      * why.
      */
     GearmanFunction function(String name, GearmanConnection asker) {
-        GearmanFunction f = functions.get(name);
-        if (f != null) {
-            return f;
+        GearmanFunction function = functions.get(name);
+        if (function != null) {
+            return function;
         }
         String code;
         String why;
@@ -257,28 +239,26 @@
     }
 
     private GearmanFunction make(String name) {
-        GearmanFunction f = new GearmanFunction(this, name, config.function(name));
-        functions.put(name, f);
-        return f;
+        GearmanFunction function = new GearmanFunction(this, name, config.function(name));
+        functions.put(name, function);
+        return function;
     }
 
     /** It stands empty with no worker. */
-    void forget(GearmanFunction f) {
-        f.close();
-        functions.remove(f.name);
-        retired.add(f.counters());
+    void forget(GearmanFunction function) {
+        function.close();
+        functions.remove(function.name);
+        retired.add(function.counters());
     }
 
-    void setBacklogged(GearmanFunction f, boolean on) {
-        if (on) {
-            backlogged.add(f);
+    void setBacklogged(GearmanFunction function, boolean backloggedNow) {
+        if (backloggedNow) {
+            backlogged.add(function);
         } else {
-            backlogged.remove(f);
+            backlogged.remove(function);
         }
     }
 
-    // ---- Workers
-
     WorkerSession newWorker(GearmanConnection connection) {
         return new WorkerSession(this, ++lastWorker, connection);
     }
@@ -295,51 +275,49 @@
     /**
      * Workers of a client id get nothing new from now on, those that connect later included; or may again.
      */
-    void drain(String clientId, boolean on) {
-        if (on) {
+    void drain(String clientId, boolean drain) {
+        if (drain) {
             drained.add(clientId);
         } else {
             drained.remove(clientId);
         }
         for (GearmanConnection each : List.copyOf(connections)) {
             if (each.worker() != null && each.clientId().equals(clientId)) {
-                each.worker().drain(on);
+                each.worker().drain(drain);
             }
         }
-        LOG.log(Level.INFO, "workers of client id " + clientId + (on ? " get nothing new" : " may serve again"));
+        LOG.log(Level.INFO, (drain ? "workers drained" : "workers undrained") + " client_id=" + clientId);
     }
 
     /** A worker may have become free: jobs of functions that it can do go before their modules, in turns. */
-    void feed(WorkerSession w) {
-        while (w.isAvailable() && !backlogged.isEmpty()) {
+    void feed(WorkerSession worker) {
+        while (worker.isAvailable() && !backlogged.isEmpty()) {
             arbiter.beginSelection(loop.now());
-            if (w.functionCount() < backlogged.size()) {
-                for (String name : w.functions()) {
+            if (worker.functionCount() < backlogged.size()) {
+                for (String name : worker.functions()) {
                     offer(functions.get(name));
                 }
             } else {
-                for (GearmanFunction f : backlogged) {
-                    if (w.can(f)) {
-                        offer(f);
+                for (GearmanFunction function : backlogged) {
+                    if (worker.can(function)) {
+                        offer(function);
                     }
                 }
             }
-            GearmanFunction f = arbiter.select();
-            if (f == null) {
+            GearmanFunction function = arbiter.select();
+            if (function == null) {
                 return;
             }
-            f.admit();
+            function.admit();
         }
     }
 
-    private void offer(GearmanFunction f) {
-        if (f.awake() && f.canAdmit()) {
-            arbiter.offer(f);
+    private void offer(GearmanFunction function) {
+        if (function.awake() && function.canAdmit()) {
+            arbiter.offer(function);
         }
     }
 
-    // ---- Jobs
-
     /** The job has its final answer, or needs none. */
     void finished(GearmanJob job, Jobs.End how) {
         if (job.hasEnded()) {
@@ -352,7 +330,7 @@
             each.session().ended(job);
         }
         job.finish();
-        retryStarved();
+        retryAwaitingMemory();
     }
 
     /** Nobody needs it any more. */
@@ -366,95 +344,52 @@
     }
 
     /** Takes it out of line, or from the module once its clients have been told. */
-    private static void giveUp(GearmanJob job, Runnable tell) {
+    static void giveUp(GearmanJob job, Runnable answer) {
         if (job.stage == GearmanJob.Stage.DISPATCHED) {
-            tell.run();
+            answer.run();
             if (job.request != null) { // null while the module is just being told of it
                 job.function.engine().clientDisconnected(job.request);
             }
         } else {
             job.function.withdraw(job);
-            tell.run();
+            answer.run();
         }
     }
 
-    // ---- The end
-
     boolean stopping() {
-        return stopping;
+        return shutdown.stopping();
     }
 
     /** What an operator's {@code shutdown} brings about once all has ended. */
     public void onShutDown(Runnable action) {
-        onStop = action;
+        shutdown.onRequest(action);
     }
 
     /** By an admin line; without {@code graceful} nothing is waited for. */
     void shutDown(boolean graceful) {
-        LOG.log(Level.INFO, "shutdown by an admin line" + (graceful ? ", graceful" : ""));
-        if (!graceful) {
-            stopBy = loop.now() + LINGER_CHECK_NS;
-        }
-        loop.post(onStop);
+        shutdown.request(graceful);
     }
 
     /**
      * Answers what clients wait for, at the latest by {@code stop_within_ms}, then calls back. New jobs are
-     * turned away, and what waits in the background is dropped and counted.
+     * rejected, and queued background jobs are dropped and counted.
+     *
+     * @param done called once on the loop when all is closed
      */
     public void stop(Runnable done) {
-        if (!stopping) {
-            stopping = true;
-            stopBy = stopBy > 0 ? stopBy : loop.now() + config.turns().stopWithinNs();
-            drop(false);
-        }
-        long now = loop.now();
-        boolean late = now >= stopBy;
-        if (late && jobs.size() > 0) {
-            drop(true);
-        }
-        if (jobs.size() == 0 && !farewell) {
-            farewell = true;
-            stopBy = now + FAREWELL_NS;
-            listener.close();
-            loop.timers.cancel(sweep);
-            List.copyOf(connections).forEach(GearmanConnection::closeWhenWritten);
-        }
-        if (farewell && (connections.isEmpty() || now >= stopBy)) {
-            List.copyOf(connections).forEach(GearmanConnection::close);
-            functions.values().forEach(GearmanFunction::close);
-            done.run();
-            return;
-        }
-        loop.timers.set(
-                new Timer() {
-                    @Override
-                    protected void fire() {
-                        stop(done);
-                    }
-                },
-                now + LINGER_CHECK_NS);
+        shutdown.stop(done);
     }
 
-    /** Jobs that nobody waits for and that have not begun; with {@code all}, whatever is left, answered. */
-    private void drop(boolean all) {
-        Map<String, Integer> dropped = new TreeMap<>();
-        for (GearmanJob job : new ArrayList<>(jobs.all())) {
-            boolean waited = job.clientCount() > 0;
-            if (job.hasEnded() || !all && (waited || job.running())) {
-                continue;
-            }
-            if (!waited) {
-                dropped.merge(job.function.name, 1, Integer::sum);
-                abandon(job, Jobs.End.LOST);
-            } else if (job.placed) { // it may have run
-                giveUp(job, () -> job.failed(job.request, "the server is stopping"));
-            } else {
-                giveUp(job, () -> job.shed(job.request, config.limits().maxRetryAfterNs()));
-            }
-        }
-        dropped.forEach((name, count) -> LOG.log(
-                Level.WARNING,
-                "stopping: " + count + " background jobs of " + name + (all ? " had not ended" : " were not run")));
+    /** No connection is accepted any more, and those open close once all is written. */
+    void closeWhenWritten() {
+        listener.close();
+        loop.timers.cancel(sweep);
+        List.copyOf(connections).forEach(GearmanConnection::closeWhenWritten);
+    }
+
+    /** Closes what is still open. */
+    void closeNow() {
+        List.copyOf(connections).forEach(GearmanConnection::close);
+        functions.values().forEach(GearmanFunction::close);
     }
 }
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -7,7 +7,6 @@
 import beechseam.gearman.protocol.Packet;
 import beechseam.gearman.queue.WorkerGroups.Location;
 import beechseam.gearman.queue.WorkerGroups.Member;
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,43 +21,27 @@
     /** Whether it waits for work. */
     enum State {
         /** It runs something, or has said nothing since it was told NO_JOB. */
-        AWAY,
+        BUSY,
         /** Its request for a job is being answered. */
-        ASKING,
+        GRABBING,
         /** It has said PRE_SLEEP and may be called with NOOP. */
         ASLEEP,
         /** It has been called and has not asked yet. */
-        CALLED
+        WOKEN
     }
 
     /** A function that it can do; {@code seconds} that a job may take, 0 for no limit. */
     private record Ability(GearmanFunction function, Member<WorkerSession> member, int seconds) {}
 
-    /** A job that it holds, also once nobody waits for it any more: only the worker can end that. */
-    private static final class Run {
-        final Attempt attempt;
-        final GearmanFunction function;
-        final long startedAt;
-        Timer limit;
-        /** It has reported an exception; unless it says otherwise that was the end. */
-        boolean excepted;
-
-        Run(Attempt attempt, GearmanFunction function, long startedAt) {
-            this.attempt = attempt;
-            this.function = function;
-            this.startedAt = startedAt;
-        }
-    }
-
     final long number;
     final GearmanConnection connection;
     private final GearmanServer server;
     private final Map<String, Ability> abilities = new LinkedHashMap<>();
-    private final Map<String, Run> held = new LinkedHashMap<>();
-    private State state = State.AWAY;
+    private final Map<String, HeldJob> heldJobs = new LinkedHashMap<>();
+    private State state = State.BUSY;
     private Location location;
     private Attempt reserved;
-    private Timer call;
+    private Timer wakeUpTimer;
     private boolean drained;
     private boolean announcedAvailable;
     private int slots = 1;
@@ -76,7 +59,7 @@
     }
 
     int jobsInFlight() {
-        return held.size();
+        return heldJobs.size();
     }
 
     /** How many jobs it has shown that it can hold at once. */
@@ -92,50 +75,48 @@
         return abilities.size();
     }
 
-    boolean can(GearmanFunction f) {
-        return abilities.containsKey(f.name);
+    boolean can(GearmanFunction function) {
+        return abilities.containsKey(function.name);
     }
 
-    Member<WorkerSession> member(GearmanFunction f) {
-        Ability a = abilities.get(f.name);
-        return a == null ? null : a.member();
+    Member<WorkerSession> member(GearmanFunction function) {
+        Ability ability = abilities.get(function.name);
+        return ability == null ? null : ability.member();
     }
 
     /** Whether it may be given a job now. */
     boolean isAvailable() {
-        return (state == State.ASKING || state == State.ASLEEP)
+        return (state == State.GRABBING || state == State.ASLEEP)
                 && reserved == null
                 && !drained
-                && held.size() < server.config.bounds().slots()
+                && heldJobs.size() < server.config.bounds().slots()
                 && !connection.closed();
     }
 
-    // ---- What it says of itself
-
     void canDo(String name, int seconds) {
         Ability known = abilities.get(name);
         if (known != null) { // said again: only the limit is new
             abilities.put(name, new Ability(known.function(), known.member(), seconds));
             return;
         }
-        GearmanFunction f = server.function(name, connection);
-        if (f == null) {
+        GearmanFunction function = server.function(name, connection);
+        if (function == null) {
             return; // it has been told why
         }
-        Member<WorkerSession> member = f.workers.groups.join(this, location);
-        abilities.put(name, new Ability(f, member, seconds));
-        f.workers.joined(member, this);
+        Member<WorkerSession> member = function.workers.groups.join(this, location);
+        abilities.put(name, new Ability(function, member, seconds));
+        function.workers.joined(member, this);
     }
 
     /** Withdrawn: what waits for it goes elsewhere, and nothing new comes. */
     void cantDo(String name) {
-        Ability a = abilities.remove(name);
-        if (a == null) {
+        Ability ability = abilities.remove(name);
+        if (ability == null) {
             return;
         }
-        a.function().workers.leave(a.member());
-        if (reserved != null && GearmanFunction.job(reserved).function == a.function()) {
-            giveBack(Outcome.NOT_SENT);
+        ability.function().workers.leave(ability.member());
+        if (reserved != null && GearmanFunction.job(reserved).function == ability.function()) {
+            returnReserved(Outcome.NOT_SENT);
         }
     }
 
@@ -145,57 +126,55 @@
 
     void renamed() {
         location = server.location(connection.clientId());
-        abilities.values().forEach(a -> a.function().workers.updateLocation(a.member(), this));
+        abilities.values().forEach(ability -> ability.function().workers.updateLocation(ability.member(), this));
         drain(server.drained(connection.clientId()));
     }
 
     /** Gets nothing new from now on, or may again; what it holds it may finish. */
-    void drain(boolean on) {
-        if (drained == on) {
+    void drain(boolean drain) {
+        if (drained == drain) {
             return;
         }
-        drained = on;
-        if (on && reserved != null) {
-            giveBack(Outcome.NOT_SENT);
+        drained = drain;
+        if (drain && reserved != null) {
+            returnReserved(Outcome.NOT_SENT);
         }
-        refresh();
+        announceAvailability();
         server.feed(this);
     }
 
-    // ---- Asking for work
-
-    void grab(Packet how) {
-        disarmCall();
-        abandon();
-        state = State.ASKING;
-        int room = server.config.bounds().slots();
-        if (held.size() >= slots && held.size() < room) {
-            slots = held.size() + 1;
-            loads();
+    void grabJob(Packet how) {
+        cancelWakeUp();
+        endAbandoned();
+        state = State.GRABBING;
+        int maxJobs = server.config.bounds().slots();
+        if (heldJobs.size() >= slots && heldJobs.size() < maxJobs) {
+            slots = heldJobs.size() + 1;
+            reportLoad();
         }
-        refresh();
+        announceAvailability();
         server.feed(this);
-        if (reserved == null || drained || held.size() >= room) {
-            state = State.AWAY;
-            refresh();
+        if (reserved == null || drained || heldJobs.size() >= maxJobs) {
+            state = State.BUSY;
+            announceAvailability();
             connection.write(Packet.NO_JOB.response());
             return;
         }
         Attempt attempt = reserved;
         reserved = null;
-        state = State.AWAY;
+        state = State.BUSY;
         assign(attempt, how);
     }
 
     void preSleep() {
-        disarmCall();
-        abandon();
+        cancelWakeUp();
+        endAbandoned();
         state = State.ASLEEP;
         if (reserved != null) {
-            wake();
+            wakeUp();
             return;
         }
-        refresh();
+        announceAvailability();
         server.feed(this);
     }
 
@@ -204,15 +183,15 @@
      * has dropped what it still holds; of one that may hold more nobody can tell, and its limit or the
      * deadline ends that.
      */
-    private void abandon() {
-        if (held.isEmpty()) {
+    private void endAbandoned() {
+        if (heldJobs.isEmpty()) {
             return;
         }
-        for (Run run : new ArrayList<>(held.values())) {
-            if (run.excepted) {
-                end(run, Outcome.ERROR);
+        for (HeldJob heldJob : new ArrayList<>(heldJobs.values())) {
+            if (heldJob.excepted) {
+                end(heldJob, Outcome.ERROR);
             } else if (server.config.bounds().slots() == 1) {
-                end(run, Outcome.LOST);
+                end(heldJob, Outcome.LOST);
             }
         }
     }
@@ -221,37 +200,37 @@
      * Tells the functions when it has become free, or no longer is; an attempt may be reserved here before it
      * returns.
      */
-    private void refresh() {
+    private void announceAvailability() {
         boolean now = isAvailable();
         if (now == announcedAvailable) {
             return;
         }
         announcedAvailable = now;
-        for (Ability a : abilities.size() < 2 ? abilities.values() : new ArrayList<>(abilities.values())) {
+        for (Ability ability : abilities.size() < 2 ? abilities.values() : new ArrayList<>(abilities.values())) {
             if (now && !isAvailable()) {
                 return; // it got one on the way, and all have been told
             }
-            if (now && a.function().awake()) {
-                Attempt waiting = a.function().workers.takePending(a.member());
+            if (now && ability.function().awake()) {
+                Attempt waiting = ability.function().workers.takePending(ability.member());
                 if (waiting != null) {
                     reserve(waiting);
                     return;
                 }
             }
-            a.function().workers.setAvailable(a.member(), now);
+            ability.function().workers.setAvailable(ability.member(), now);
         }
         if (now) {
-            for (Ability a : abilities.values()) {
-                if (isAvailable() && a.function().awake()) {
-                    a.function().workers.returnPending();
+            for (Ability ability : abilities.values()) {
+                if (isAvailable() && ability.function().awake()) {
+                    ability.function().workers.returnPending();
                 }
             }
         }
     }
 
-    private void loads() {
-        for (Ability a : abilities.values()) {
-            a.function().workers.updateLoad(a.member(), held.size(), slots);
+    private void reportLoad() {
+        for (Ability ability : abilities.values()) {
+            ability.function().workers.updateLoad(ability.member(), heldJobs.size(), slots);
         }
     }
 
@@ -259,192 +238,158 @@
     void reserve(Attempt attempt) {
         reserved = attempt;
         attempt.exchange = this;
-        refresh();
-        wake();
+        announceAvailability();
+        wakeUp();
     }
 
     /** The attempt that waits here is not wanted any more. */
     void cancelReservation(Attempt attempt) {
         if (reserved == attempt) {
             reserved = null;
-            refresh();
+            announceAvailability();
         }
     }
 
-    private void wake() {
+    private void wakeUp() {
         if (state != State.ASLEEP) {
             return; // it is asking just now
         }
-        state = State.CALLED;
+        state = State.WOKEN;
         connection.write(Packet.NOOP.response());
-        call = new Timer() {
+        wakeUpTimer = new Timer() {
             @Override
             protected void fire() { // called and not come: what waits for it never ran
-                call = null;
-                state = State.AWAY;
+                wakeUpTimer = null;
+                state = State.BUSY;
                 if (reserved != null) {
-                    giveBack(Outcome.UNREACHABLE);
+                    returnReserved(Outcome.UNREACHABLE);
                 }
             }
         };
-        server.loop.timers.set(call, server.loop.now() + server.config.turns().grabTimeoutNs());
+        server.loop.timers.set(
+                wakeUpTimer, server.loop.now() + server.config.turns().grabTimeoutNs());
     }
 
-    private void disarmCall() {
-        if (call != null) {
-            server.loop.timers.cancel(call);
-            call = null;
+    private void cancelWakeUp() {
+        if (wakeUpTimer != null) {
+            server.loop.timers.cancel(wakeUpTimer);
+            wakeUpTimer = null;
         }
     }
 
-    private void giveBack(Outcome outcome) {
+    private void returnReserved(Outcome outcome) {
         Attempt attempt = reserved;
         reserved = null;
-        refresh();
-        GearmanFunction f = GearmanFunction.job(attempt).function;
+        announceAvailability();
+        GearmanFunction function = GearmanFunction.job(attempt).function;
         if (outcome == Outcome.NOT_SENT) {
-            f.workers.returnUnsent(attempt);
+            function.workers.returnUnsent(attempt);
         } else {
-            Member<WorkerSession> member = member(f);
+            Member<WorkerSession> member = member(function);
             if (member != null) {
-                f.workers.recordOutcome(member, outcome, 0);
+                function.workers.recordOutcome(member, outcome, 0);
             }
-            f.workers.attemptEnded(attempt, outcome, null, null);
+            function.workers.attemptEnded(attempt, outcome, null, null);
         }
     }
 
-    // ---- Jobs
-
     private void assign(Attempt attempt, Packet how) {
         GearmanJob job = GearmanFunction.job(attempt);
-        GearmanFunction f = job.function;
-        Run run = new Run(attempt, f, server.loop.now());
+        GearmanFunction function = job.function;
+        HeldJob heldJob = new HeldJob(attempt, function, server.loop.now());
         String handle = job.handle();
-        Run before = held.put(handle, run);
-        if (before != null) { // a late one of the same job: what it says from now on is of this one
-            disarm(before);
+        HeldJob previous = heldJobs.put(handle, heldJob);
+        if (previous != null) { // a late one of the same job: what it says from now on is of this one
+            previous.cancelTimeLimit();
         } else {
             job.runs++;
-            f.running += job.runs == 1 ? 1 : 0;
+            function.running += job.runs == 1 ? 1 : 0;
         }
-        loads();
+        reportLoad();
         attempt.begun();
         switch (how) {
-            case GRAB_JOB_UNIQ -> hand(Packet.JOB_ASSIGN_UNIQ, job, handle, f.name, job.unique);
+            case GRAB_JOB_UNIQ -> job.assignTo(connection, Packet.JOB_ASSIGN_UNIQ, handle, function.name, job.unique);
             case GRAB_JOB_ALL ->
-                hand(Packet.JOB_ASSIGN_ALL, job, handle, f.name, job.unique, job.reducer == null ? "" : job.reducer);
-            default -> hand(Packet.JOB_ASSIGN, job, handle, f.name);
-        }
-        Ability a = abilities.get(f.name);
-        if (a != null && a.seconds() > 0) {
-            run.limit = new Timer() {
-                @Override
-                protected void fire() { // the worker's own limit: it may still run there
-                    run.limit = null;
-                    if (!attempt.hasEnded()) {
-                        f.workers.recordOutcome(a.member(), Outcome.TIMEOUT, 0);
-                        f.workers.attemptEnded(attempt, Outcome.TIMEOUT, null, null);
-                    }
-                }
-            };
-            server.loop.timers.set(run.limit, server.loop.now() + a.seconds() * 1_000_000_000L);
+                job.assignTo(
+                        connection,
+                        Packet.JOB_ASSIGN_ALL,
+                        handle,
+                        function.name,
+                        job.unique,
+                        job.reducer == null ? "" : job.reducer);
+            default -> job.assignTo(connection, Packet.JOB_ASSIGN, handle, function.name);
         }
-        f.engine().attemptStarted(attempt);
-    }
-
-    private void hand(Packet kind, GearmanJob job, Object... args) {
-        ByteBuffer workload = job.workload;
-        if (workload.hasRemaining()) {
-            connection.write(kind.responseBefore(workload.remaining(), args), workload.duplicate());
-        } else {
-            Object[] all = java.util.Arrays.copyOf(args, args.length + 1);
-            all[args.length] = new byte[0];
-            connection.write(kind.response(all));
+        Ability ability = abilities.get(function.name);
+        if (ability != null && ability.seconds() > 0) {
+            heldJob.startTimeLimit(ability.member(), ability.seconds() * 1_000_000_000L);
         }
+        function.engine().attemptStarted(attempt);
     }
 
     /** Something about a job that it holds. */
     void work(Packet kind, Arguments args) {
-        Run run = held.get(args.text(0));
-        if (run == null) {
+        HeldJob heldJob = heldJobs.get(args.text(0));
+        if (heldJob == null) {
             connection.error("JOB_NOT_FOUND", "this worker holds no such job");
             return;
         }
-        GearmanJob job = GearmanFunction.job(run.attempt);
-        boolean live = !run.attempt.hasEnded() && !run.attempt.request.finished();
+        GearmanJob job = GearmanFunction.job(heldJob.attempt);
+        boolean current = !heldJob.attempt.hasEnded() && !heldJob.attempt.request.finished();
         switch (kind) {
             case WORK_COMPLETE -> {
-                if (live && job.result == null) {
+                if (current && job.result == null) {
                     job.result = args.kept(1);
                 }
-                end(run, Outcome.SERVED);
+                end(heldJob, Outcome.SERVED);
             }
-            case WORK_FAIL -> end(run, Outcome.ERROR);
+            case WORK_FAIL -> end(heldJob, Outcome.ERROR);
             case WORK_STATUS -> {
-                if (live && job.speaks(run.attempt)) {
+                if (current && job.forwardsFor(heldJob.attempt)) {
                     job.numerator = args.text(1);
                     job.denominator = args.text(2);
                     job.forward(kind, args.kept(2), args.text(0), job.numerator);
-                    progress(run.attempt, job);
+                    heldJob.reportProgress();
                 }
             }
             default -> {
-                run.excepted |= kind == Packet.WORK_EXCEPTION;
-                if (live && job.speaks(run.attempt)) {
+                heldJob.excepted |= kind == Packet.WORK_EXCEPTION;
+                if (current && job.forwardsFor(heldJob.attempt)) {
                     job.forward(kind, args.kept(1), args.text(0));
-                    server.pressure(connection, job);
+                    server.throttleForClients(connection, job);
                 }
             }
         }
     }
 
-    private static void progress(Attempt attempt, GearmanJob job) {
-        try {
-            double share = Double.parseDouble(job.numerator) / Double.parseDouble(job.denominator);
-            if (share >= 0 && share <= 1) {
-                job.function.engine().attemptProgressed(attempt, share);
-            }
-        } catch (NumberFormatException e) {
-            // by the protocol it is for the clients, whatever it says
-        }
-    }
-
     /** The worker has ended what it held; it is free once it asks again. */
-    private void end(Run run, Outcome outcome) {
-        forget(run);
-        Member<WorkerSession> member = member(run.function);
-        if (member != null && !run.attempt.hasEnded()) {
-            run.function.workers.recordOutcome(member, outcome, server.loop.now() - run.startedAt);
+    private void end(HeldJob heldJob, Outcome outcome) {
+        forget(heldJob);
+        Member<WorkerSession> member = member(heldJob.function);
+        if (member != null && !heldJob.attempt.hasEnded()) {
+            heldJob.function.workers.recordOutcome(member, outcome, server.loop.now() - heldJob.startedAtNs);
         }
-        run.function.workers.attemptEnded(run.attempt, outcome, null, member);
+        heldJob.function.workers.attemptEnded(heldJob.attempt, outcome, null, member);
     }
 
-    private void forget(Run run) {
-        disarm(run);
-        GearmanJob job = GearmanFunction.job(run.attempt);
-        held.remove(job.handle());
+    private void forget(HeldJob heldJob) {
+        heldJob.cancelTimeLimit();
+        GearmanJob job = GearmanFunction.job(heldJob.attempt);
+        heldJobs.remove(job.handle());
         job.runs--;
-        run.function.running -= job.runs == 0 ? 1 : 0;
-        loads();
-    }
-
-    private void disarm(Run run) {
-        if (run.limit != null) {
-            server.loop.timers.cancel(run.limit);
-            run.limit = null;
-        }
+        heldJob.function.running -= job.runs == 0 ? 1 : 0;
+        reportLoad();
     }
 
-    /** The connection is gone, and with it all that it held. */
+    /** The connection is gone, and with it all that it heldJobs. */
     void lost() {
-        disarmCall();
+        cancelWakeUp();
         resetAbilities();
-        for (Run run : new ArrayList<>(held.values())) { // each may have run to any point
-            forget(run);
-            run.function.workers.attemptEnded(run.attempt, Outcome.LOST, null, null);
+        for (HeldJob heldJob : new ArrayList<>(heldJobs.values())) { // each may have run to any point
+            forget(heldJob);
+            heldJob.function.workers.attemptEnded(heldJob.attempt, Outcome.LOST, null, null);
         }
         if (reserved != null) {
-            giveBack(Outcome.NOT_SENT);
+            returnReserved(Outcome.NOT_SENT);
         }
     }
 }
