--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -74,54 +74,55 @@
 
     private List<GearmanFunction> sorted() {
         List<GearmanFunction> all = new ArrayList<>(server.functions());
-        all.sort(Comparator.comparing((GearmanFunction f) -> f.name));
+        all.sort(Comparator.comparing((GearmanFunction function) -> function.name));
         return all;
     }
 
     private String status() {
-        StringBuilder s = new StringBuilder();
-        for (GearmanFunction f : sorted()) {
-            s.append(f.name)
+        StringBuilder lines = new StringBuilder();
+        for (GearmanFunction function : sorted()) {
+            lines.append(function.name)
                     .append('\t')
-                    .append(f.alive)
+                    .append(function.alive)
                     .append('\t')
-                    .append(f.running)
+                    .append(function.running)
                     .append('\t')
-                    .append(f.workers.groups.memberCount())
+                    .append(function.workers.groups.memberCount())
                     .append('\n');
         }
-        return s.append(END).toString();
+        return lines.append(END).toString();
     }
 
     private String priorityStatus() {
-        StringBuilder s = new StringBuilder();
-        for (GearmanFunction f : sorted()) {
-            s.append(f.name);
+        StringBuilder lines = new StringBuilder();
+        for (GearmanFunction function : sorted()) {
+            lines.append(function.name);
             for (int priority = 0; priority < GearmanFunction.PRIORITIES; priority++) {
-                int later = priority == 1 ? f.delayed.size() : 0; // those that wait for the clock are normal ones
-                s.append('\t').append(f.queues.queuedJobs(priority) + later);
+                // Those that wait for the clock are normal ones.
+                int later = priority == 1 ? function.delayed.size() : 0;
+                lines.append('\t').append(function.queues.queuedJobs(priority) + later);
             }
-            s.append('\t').append(f.workers.groups.memberCount()).append('\n');
+            lines.append('\t').append(function.workers.groups.memberCount()).append('\n');
         }
-        return s.append(END).toString();
+        return lines.append(END).toString();
     }
 
     private String workers() {
-        StringBuilder s = new StringBuilder();
+        StringBuilder lines = new StringBuilder();
         for (GearmanConnection each : server.connections()) {
-            WorkerSession w = each.worker();
-            s.append(w == null ? 0 : w.number)
+            WorkerSession worker = each.worker();
+            lines.append(worker == null ? 0 : worker.number)
                     .append(' ')
                     .append(each.peer())
                     .append(' ')
                     .append(each.clientId())
                     .append(" :");
-            if (w != null) {
-                w.functions().forEach(name -> s.append(' ').append(name));
+            if (worker != null) {
+                worker.functions().forEach(name -> lines.append(' ').append(name));
             }
-            s.append('\n');
+            lines.append('\n');
         }
-        return s.append(END).toString();
+        return lines.append(END).toString();
     }
 
     /** Of a function, one bound for each priority or one for all; none, or below 1: no bound. */
@@ -129,22 +130,22 @@
         if (words.length < 2) {
             return incomplete();
         }
-        int[] most = new int[GearmanFunction.PRIORITIES];
-        for (int i = 0; i < most.length; i++) {
+        int[] limits = new int[GearmanFunction.PRIORITIES];
+        for (int i = 0; i < limits.length; i++) {
             String word = words.length == 2 ? "0" : words.length < 5 ? words[2] : words[2 + i];
             try {
                 int bound = Integer.parseInt(word);
-                most[i] = bound < 1 ? Integer.MAX_VALUE : bound;
+                limits[i] = bound < 1 ? Integer.MAX_VALUE : bound;
             } catch (NumberFormatException e) {
                 return error("INVALID_ARGUMENTS", "a bound must be a whole number");
             }
         }
-        GearmanFunction f = server.find(words[1]);
-        if (f == null) {
+        GearmanFunction function = server.find(words[1]);
+        if (function == null) {
             return OK; // as published: a function that is not there has no queue to bound
         }
-        for (int priority = 0; priority < most.length; priority++) {
-            f.queues.setLimit(priority, most[priority]);
+        for (int priority = 0; priority < limits.length; priority++) {
+            function.queues.setLimit(priority, limits[priority]);
         }
         return OK;
     }
@@ -153,11 +154,11 @@
         if (words.length != 3 || !words[1].equals("function")) {
             return incomplete();
         }
-        GearmanFunction f = ClientSession.isValidName(words[2]) ? server.function(words[2], null) : null;
-        if (f == null) {
+        GearmanFunction function = ClientSession.isValidName(words[2]) ? server.function(words[2], null) : null;
+        if (function == null) {
             return error("CREATE_FUNCTION", words[2]);
         }
-        f.pinned = true;
+        function.pinned = true;
         return OK;
     }
 
@@ -165,36 +166,36 @@
         if (words.length != 3 || !words[1].equals("function")) {
             return incomplete();
         }
-        GearmanFunction f = server.find(words[2]);
-        if (f == null) {
+        GearmanFunction function = server.find(words[2]);
+        if (function == null) {
             return "ERR function not found\n";
         }
-        if (!f.unused()) { // and it stays, also once they have gone
+        if (!function.unused()) { // and it stays, also once they have gone
             return "ERR there are still connected workers or executing clients\n";
         }
-        server.forget(f);
+        server.forget(function);
         return OK;
     }
 
     private String show(String[] words) {
         if (words.length == 2 && words[1].equals("jobs")) {
-            StringBuilder s = new StringBuilder();
+            StringBuilder lines = new StringBuilder();
             for (GearmanJob job : server.jobs.all()) { // handle, retries, ignored, waiting
-                s.append(job.handle())
+                lines.append(job.handle())
                         .append("\t0\t0\t")
                         .append(job.running() ? 0 : 1)
                         .append('\n');
             }
-            return s.append(END).toString();
+            return lines.append(END).toString();
         }
         if (words.length == 3 && words[1].equals("unique") && words[2].equals("jobs")) {
-            StringBuilder s = new StringBuilder();
+            StringBuilder lines = new StringBuilder();
             for (GearmanJob job : server.jobs.all()) {
                 if (!job.unique.isEmpty()) {
-                    s.append(job.unique).append('\n');
+                    lines.append(job.unique).append('\n');
                 }
             }
-            return s.append(END).toString();
+            return lines.append(END).toString();
         }
         return error("UNKNOWN_SHOW_ARGUMENTS", "jobs, or unique jobs");
     }
@@ -215,11 +216,11 @@
         return OK;
     }
 
-    private String drain(String[] words, boolean on) {
+    private String drain(String[] words, boolean drain) {
         if (words.length != 2) {
             return incomplete();
         }
-        server.drain(words[1], on);
+        server.drain(words[1], drain);
         return OK;
     }
 
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -177,7 +177,9 @@
             return null;
         }
         GearmanJob job = new GearmanJob(
-                server.jobs.next(), function, args.text(1), key, args.kept(workload), mode, reducer, this, charge);
+                server.jobs.next(),
+                function,
+                new GearmanJob.Submission(args.text(1), key, args.kept(workload), mode, reducer, this, charge));
         server.jobs.add(job);
         open++;
         function.alive++;
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -196,20 +196,8 @@
             case GET_STATUS -> session.status(args.text(0), false);
             case GET_STATUS_UNIQUE -> session.status(args.text(0), true);
             case OPTION_REQ -> session.option(args.text(0));
-            case ECHO_REQ -> {
-                ByteBuffer echo = args.kept(0);
-                if (echo.remaining() > IN_PLACE) {
-                    write(Packet.ECHO_RES.responseBefore(echo.remaining()), echo);
-                } else {
-                    write(Packet.ECHO_RES.response(args.bytes(0)));
-                }
-            }
-            case SET_CLIENT_ID -> {
-                clientId = args.text(0).replaceAll("[\\s\\p{Cntrl}]", "_");
-                if (worker != null) {
-                    worker.renamed();
-                }
-            }
+            case ECHO_REQ -> echo(args);
+            case SET_CLIENT_ID -> setClientId(args.text(0));
             case CAN_DO -> canDo(args.text(0), "0");
             case CAN_DO_TIMEOUT -> canDo(args.text(0), args.text(1));
             case CANT_DO -> asWorker().cantDo(args.text(0));
@@ -223,6 +211,23 @@
         }
     }
 
+    private void echo(Arguments args) {
+        ByteBuffer data = args.kept(0);
+        if (data.remaining() > IN_PLACE) {
+            write(Packet.ECHO_RES.responseBefore(data.remaining()), data);
+        } else {
+            write(Packet.ECHO_RES.response(args.bytes(0)));
+        }
+    }
+
+    /** Without blanks, since it stands in lines of admin answers. */
+    private void setClientId(String text) {
+        clientId = text.replaceAll("[\\s\\p{Cntrl}]", "_");
+        if (worker != null) {
+            worker.renamed();
+        }
+    }
+
     private void canDo(String function, String seconds) {
         if (!seconds.matches("\\d{1,8}")) {
             error("BAD_ARGUMENTS", "CAN_DO_TIMEOUT needs a whole number of seconds");
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -31,6 +31,22 @@
         ENDED
     }
 
+    /**
+     * What a client submitted.
+     *
+     * @param key     finds the job by its unique; null without one
+     * @param reducer null unless it was submitted to be reduced
+     * @param charge  bytes that are held for it
+     */
+    record Submission(
+            String unique,
+            Object key,
+            ByteBuffer workload,
+            Mode mode,
+            String reducer,
+            ClientSession submitter,
+            int charge) {}
+
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
     final long number;
@@ -74,25 +90,16 @@
     String numerator = "0";
     String denominator = "0";
 
-    GearmanJob(
-            long number,
-            GearmanFunction function,
-            String unique,
-            Object key,
-            ByteBuffer workload,
-            Mode mode,
-            String reducer,
-            ClientSession submitter,
-            int charge) {
+    GearmanJob(long number, GearmanFunction function, Submission submission) {
         this.number = number;
         this.function = function;
-        this.unique = unique;
-        this.key = key;
-        this.workload = workload;
-        this.mode = mode;
-        this.reducer = reducer;
-        this.submitter = submitter;
-        this.charge = charge;
+        this.unique = submission.unique();
+        this.key = submission.key();
+        this.workload = submission.workload();
+        this.mode = submission.mode();
+        this.reducer = submission.reducer();
+        this.submitter = submission.submitter();
+        this.charge = submission.charge();
     }
 
     String handle() {
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -380,7 +380,7 @@
         reportLoad();
     }
 
-    /** The connection is gone, and with it all that it heldJobs. */
+    /** The connection is gone, and with it all jobs that it held. */
     void lost() {
         cancelWakeUp();
         resetAbilities();
--- a/src/test/java/beechseam/gearman/GearmanTest.java
+++ b/src/test/java/beechseam/gearman/GearmanTest.java
@@ -31,26 +31,26 @@
          "workers":[{"client_id":"a1-*","zone":"a","cell":1},{"client_id":"b2-*","zone":"b","cell":2}]}
         """;
 
-    private final GearmanHarness rig = new GearmanHarness(FILE);
-    private final Loopback net = rig.net;
-    private final GearmanServer server = rig.server;
+    private final GearmanHarness harness = new GearmanHarness(FILE);
+    private final Loopback net = harness.net;
+    private final GearmanServer server = harness.server;
 
     @AfterEach
     @AfterProperty
     void close() {
-        rig.close();
+        harness.close();
     }
 
     private StandIn peer() {
-        return rig.peer();
+        return harness.peer();
     }
 
     private void drop(StandIn s) {
-        rig.drop(s);
+        harness.drop(s);
     }
 
     @Test
-    void aJobGoesToASleepingWorkerAndItsResultToTheClient() {
+    void jobWakesASleepingWorkerAndItsResultReachesTheClient() {
         StandIn worker = peer().can("safe");
         StandIn client = peer().say(Packet.SUBMIT_JOB, "safe", "", "load\0ed");
         String handle = client.next("JOB_CREATED");
@@ -71,7 +71,7 @@
 
     /** A worker that asks while it holds a job can hold more; one that does not ask gets none. */
     @Test
-    void aWorkerHoldsAsManyJobsAsItAsksFor() {
+    void workerHoldsAsManyJobsAsItGrabs() {
         StandIn worker = peer().can("safe", "once");
         StandIn client = peer().say(Packet.SUBMIT_JOB, "safe", "", "1");
         client.expect("JOB_CREATED");
@@ -86,7 +86,7 @@
 
     /** Hard case one: the worker is gone mid-job, and it may have run to any point. */
     @Test
-    void aWorkerThatDropsMidJobIsRepeatedOnlyAsTheClassAllows() {
+    void lostAttemptIsRetriedOnlyAsIdempotencyAllows() {
         StandIn client = peer().say(Packet.OPTION_REQ, "exceptions").expect("OPTION_RES exceptions");
         StandIn first = peer().can("safe", "once");
         client.say(Packet.SUBMIT_JOB, "once", "", "x");
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aKeyedJobIsRepeatedInItsCellOnly() {
+    void keyedRetryStaysInItsDeduplicationScope() {
         StandIn client = peer().say(Packet.SUBMIT_JOB, "keyed", "", "x").expect("ERROR NO_KEY");
         StandIn first = peer().say(Packet.SET_CLIENT_ID, "a1-x").can("keyed");
         client.say(Packet.SUBMIT_JOB, "keyed", "k", "x");
@@ -125,7 +125,7 @@
 
     /** Hard case two: the key is submitted again while its job lives. */
     @Test
-    void theSameKeyTwiceIsOneJobAndBothAreAnswered() {
+    void sameUniqueCoalescesAndBothClientsAreAnswered() {
         StandIn worker = peer().can("once");
         StandIn one = peer().say(Packet.SUBMIT_JOB, "once", "key", "x");
         String handle = one.next("JOB_CREATED");
@@ -148,7 +148,7 @@
 
     /** Nobody can do it: given up while the client still waits, and told when to come back. */
     @Test
-    void aShedTellsWhenToComeBackThenFailsOnce() {
+    void shedJobReportsRetryAfterThenFailsOnce() {
         StandIn asking = peer().say(Packet.OPTION_REQ, "exceptions").expect("OPTION_RES");
         StandIn plain = peer();
         String a = asking.say(Packet.SUBMIT_JOB, "short", "", "x").next("JOB_CREATED");
@@ -162,7 +162,7 @@
 
     /** The worker keeps silent: the client has its answer, and what comes later is nobody's. */
     @Test
-    void aDeadlinePassesWhileTheWorkerHoldsTheJob() {
+    void deadlineExpiresWhileTheJobIsInFlight() {
         StandIn worker = peer().can("short");
         StandIn client = peer().say(Packet.SUBMIT_JOB, "short", "", "x");
         String handle = client.next("JOB_CREATED");
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void aWorkersOwnLimitEndsItsHop() {
+    void workerTimeLimitEndsTheAttempt() {
         StandIn worker = peer().say(Packet.CAN_DO_TIMEOUT, "once", "1").say(Packet.PRE_SLEEP);
         StandIn client = peer().say(Packet.SUBMIT_JOB, "once", "", "x");
         String handle = client.next("JOB_CREATED");
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void withdrawnAbilitiesGetNothingNew() {
+    void withdrawnAbilitiesGetNoNewJobs() {
         StandIn worker = peer().can("safe", "once").say(Packet.CANT_DO, "safe").sync();
         StandIn client = peer().say(Packet.SUBMIT_JOB, "safe", "", "x").expect("JOB_CREATED");
         worker.nothing();
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void aClientThatLeavesTakesItsForegroundJobAlong() {
+    void clientDisconnectCancelsItsForegroundJob() {
         StandIn client = peer().say(Packet.SUBMIT_JOB_LOW, "once", "", "x");
         client.expect("JOB_CREATED").sync();
         drop(client);
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void adminLines() {
+    void adminCommandsAreAnswered() {
         peer().say(Packet.SET_CLIENT_ID, "a1 x").can("safe").sync();
         Loopback.Peer admin = peer().peer.say("workers\nversion\nwhat\n");
         net.until("three answers", () -> admin.heard().endsWith("server+command\n"));
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void badInputIsAnsweredOrCutOffAndHarmsNobodyElse() {
+    void badInputIsAnsweredOrDisconnectedAndIsolated() {
         StandIn other = peer().can("safe");
         StandIn odd = peer();
         odd.say(Packet.SUBMIT_JOB, "none", "", "x").expect("ERROR UNKNOWN_FUNCTION");
@@ -271,7 +271,7 @@
 
     /** Random steps of a client and workers against a model of who is owed what. */
     @Property(seed = "4730", tries = 40)
-    void eachSubmissionEndsOnceAndNoUnsafeJobRunsTwice(@ForAll long seed) throws Exception {
+    void eachSubmissionEndsOnceAndNoNonIdempotentJobRunsTwice(@ForAll long seed) throws Exception {
         GearmanTest each = new GearmanTest(); // all tries share one instance
         try {
             each.randomSteps(new Random(seed));
@@ -336,8 +336,8 @@
             Map<StandIn, Set<String>> holds,
             Map<String, Integer> owed,
             Map<String, Integer> ran) {
-        rig.all.forEach(StandIn::sync);
-        rig.all.forEach(StandIn::sync); // what one's words brought about for another has come by now
+        harness.all.forEach(StandIn::sync);
+        harness.all.forEach(StandIn::sync); // what one's words brought about for another has come by now
         for (StandIn w : workers) {
             for (String said = w.heard.poll(); said != null; said = w.heard.poll()) {
                 String[] words = said.split(" ");
