--- a/src/test/java/beechseam/TermsAuditTest.java
+++ b/src/test/java/beechseam/TermsAuditTest.java
@@ -136,17 +136,17 @@
     /** What it is to find, it finds. */
     @Test
     void faultyRowsAreFound() throws IOException {
-        String good = "| P | may | first | `Engine.end` | TermsAuditTest#faultyRowsAreFound | holds |";
+        String good = "| P | may | first | `AttemptLifecycle.end` | TermsAuditTest#faultyRowsAreFound | holds |";
         assertEquals(0, problemsOf(good));
         assertEquals(1, problemsOf(good.replace("holds", "")));
         assertEquals(1, problemsOf(good.replace("holds", "holds, mostly")));
         assertEquals(1, problemsOf(good.replace("| first ", "")));
-        assertEquals(1, problemsOf(good.replace("`Engine.end`", "`Engine.ends`")));
-        assertEquals(1, problemsOf(good.replace("`Engine.end`", "-")));
+        assertEquals(1, problemsOf(good.replace("`AttemptLifecycle.end`", "`AttemptLifecycle.ends`")));
+        assertEquals(1, problemsOf(good.replace("`AttemptLifecycle.end`", "-")));
         assertEquals(1, problemsOf(good.replace("TermsAuditTest#faultyRowsAreFound", "-")));
         assertEquals(1, problemsOf(good.replace("#faultyRowsAreFound", "#noSuchTest")));
         assertEquals(1, problemsOf(good.replace("TermsAuditTest#faultyRowsAreFound", "NoSuchTest#x")));
-        assertEquals(1, problemsOf(good.replace("`Engine.end`", "`Engine.end`, somewhere")));
+        assertEquals(1, problemsOf(good.replace("`AttemptLifecycle.end`", "`AttemptLifecycle.end`, somewhere")));
     }
 
     private static int problemsOf(String line) throws IOException {
