--- a/src/main/java/beechseam/cli/Main.java
+++ b/src/main/java/beechseam/cli/Main.java
@@ -58,6 +58,7 @@
 
     private Main() {}
 
+    /** Runs the command that the arguments name and exits with its status: 0, 1, or 2 for a faulty call. */
     public static void main(String[] args) {
         int status = run(args);
         if (status != 0) {
--- a/src/main/java/beechseam/conformance/Player.java
+++ b/src/main/java/beechseam/conformance/Player.java
@@ -23,6 +23,7 @@
 public final class Player implements AutoCloseable {
     /** How a case went; {@code why} is null for one that passed. */
     public record Result(Case of, String why, long tookNs) {
+        /** Whether the server answered as the transcript says. */
         public boolean passed() {
             return why == null;
         }
--- a/src/main/java/beechseam/importer/ImportException.java
+++ b/src/main/java/beechseam/importer/ImportException.java
@@ -4,6 +4,7 @@
 public final class ImportException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** The message names the place in the file and what is wrong there. */
     public ImportException(String message) {
         super(message);
     }
--- a/src/main/java/beechseam/importer/Importer.java
+++ b/src/main/java/beechseam/importer/Importer.java
@@ -27,6 +27,7 @@
         return warnings;
     }
 
+    /** Reads a file of that form; workers get the zone where the file names none. Warnings are kept beside. */
     public List<Route> read(String text, Form form, String zone) throws ImportException {
         Form found = form != Form.AUTO
                 ? form
--- a/src/main/java/beechseam/library/Balancer.java
+++ b/src/main/java/beechseam/library/Balancer.java
@@ -310,6 +310,7 @@
             return this;
         }
 
+        /** Starts the balancer on a thread of its own; without a type an {@link IllegalArgumentException}. */
         public Balancer<Q, R> build() {
             if (types.isEmpty()) {
                 throw new IllegalArgumentException("type: at least one job type is needed");
--- a/src/main/java/beechseam/library/JobType.java
+++ b/src/main/java/beechseam/library/JobType.java
@@ -47,6 +47,7 @@
         CELL
     }
 
+    /** Checks its parts; an {@link IllegalArgumentException} names the faulty one. */
     public JobType {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(repeats, "repeats");
--- a/src/main/java/beechseam/library/NeverRanException.java
+++ b/src/main/java/beechseam/library/NeverRanException.java
@@ -17,16 +17,19 @@
 
     private final Reason reason;
 
+    /** The attempt certainly did not run; the message is for the log. */
     public NeverRanException(Reason reason, String message) {
         super(message);
         this.reason = reason;
     }
 
+    /** The same with what caused it, or null. */
     public NeverRanException(Reason reason, String message, Throwable cause) {
         super(message, cause);
         this.reason = reason;
     }
 
+    /** Why it did not run; never null. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/beechseam/library/Outcome.java
+++ b/src/main/java/beechseam/library/Outcome.java
@@ -30,6 +30,7 @@
      */
     record Failed<R>(boolean late, String why) implements Outcome<R> {}
 
+    /** Whether it is {@link Served}. */
     default boolean served() {
         return this instanceof Served;
     }
--- a/src/main/java/beechseam/library/Sender.java
+++ b/src/main/java/beechseam/library/Sender.java
@@ -13,8 +13,10 @@
 public interface Sender<Q, R> {
     /** One attempt at a job, at one target. All methods may be called from any thread. */
     interface Attempt<Q> {
+        /** What the job carries. */
         Q job();
 
+        /** Where it is to be sent. */
         Target target();
 
         /** From 1. */
--- a/src/main/java/beechseam/library/Target.java
+++ b/src/main/java/beechseam/library/Target.java
@@ -17,6 +17,7 @@
 public record Target(String id, String zone, int cell, String kind, int slots, Instant started, boolean draining) {
     static final String ANYWHERE = "-";
 
+    /** Checks its parts; an {@link IllegalArgumentException} names the faulty one. */
     public Target {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(zone, "zone");
@@ -31,22 +32,27 @@
         return new Target(id, ANYWHERE, 0, ANYWHERE, 0, null, false);
     }
 
+    /** The same target in that zone and cell. */
     public Target in(String itsZone, int itsCell) {
         return new Target(id, itsZone, itsCell, kind, slots, started, draining);
     }
 
+    /** The same target as one of that kind; see {@link JobType#doneBy}. */
     public Target ofKind(String itsKind) {
         return new Target(id, zone, cell, itsKind, slots, started, draining);
     }
 
+    /** The same target running so many jobs at a time, at least 1. */
     public Target withSlots(int itsSlots) {
         return new Target(id, zone, cell, kind, itsSlots, started, draining);
     }
 
+    /** The same target as started then: until it has warmed up it gets less. */
     public Target startedAt(Instant at) {
         return new Target(id, zone, cell, kind, slots, at, draining);
     }
 
+    /** The same target draining: it gets no further job. */
     public Target drain() {
         return new Target(id, zone, cell, kind, slots, started, true);
     }
--- a/src/main/java/beechseam/net/Connection.java
+++ b/src/main/java/beechseam/net/Connection.java
@@ -290,7 +290,7 @@
         if (discards) {
             inbound.discard();
         }
-        inbound.ensureRoom();
+        inbound.ensureCapacity();
         int received = fillBuffer();
         if (peerEnded && received == 0) {
             throw new IOException("closed by the peer");
@@ -319,7 +319,7 @@
         do { // a buffer that is filled is offered first: what comes behind a long message may wait
             count = inbound.readFrom(channel);
             received += Math.max(0, count);
-        } while (count > 0 && inbound.hasRoom() && readsUntilPeerCloses());
+        } while (count > 0 && inbound.hasRemaining() && readsUntilPeerCloses());
         peerEnded = count < 0;
         return received;
     }
--- a/src/main/java/beechseam/net/InboundBuffer.java
+++ b/src/main/java/beechseam/net/InboundBuffer.java
@@ -38,7 +38,7 @@
     }
 
     /** Enlarges an acquired buffer that has no room left; fails where all connections together hold too much. */
-    void ensureRoom() throws IOException {
+    void ensureCapacity() throws IOException {
         if (buffer.hasRemaining()) {
             return;
         }
@@ -49,7 +49,7 @@
         buffer = larger;
     }
 
-    boolean hasRoom() {
+    boolean hasRemaining() {
         return buffer.hasRemaining();
     }
 
--- a/src/main/java/beechseam/net/Listener.java
+++ b/src/main/java/beechseam/net/Listener.java
@@ -38,10 +38,6 @@
     /** A cancelled key has left its selector after this time, so that the last accept and the close are one. */
     private static final long DEREGISTRATION_NS = 5_000_000L;
 
-    /** Backoff after an accept that failed; the longest is short beside any client's time-out. */
-    private static final long INITIAL_BACKOFF_NS = 10_000_000L;
-
-    private static final long MAX_BACKOFF_NS = 160_000_000L;
     /** How long a closing listener goes on retrying failed accepts. */
     private static final long DRAIN_RETRY_LIMIT_NS = 2_000_000_000L;
 
@@ -62,9 +58,8 @@
         }
     };
     private final Runnable resumeAccepting = this::resumeAccepting;
+    private final RetryBackoff backoff = RetryBackoff.forSockets();
     private boolean accepting = true;
-    private long backoffNs;
-    private long consecutiveFailures;
 
     /** Listens on an address that no other process shares; fails where it cannot be bound. */
     public Listener(EventLoop loop, SocketAddress at, ConnectionAcceptor acceptor) throws IOException {
@@ -157,10 +152,9 @@
      * being served until the backoff ends or a descriptor is freed.
      */
     private void backOff(IOException why) {
-        consecutiveFailures++;
-        LOG.log(consecutiveFailures == 1 ? Level.WARNING : Level.DEBUG, "accept failed reason=" + why.getMessage());
-        backoffNs = backoffNs == 0 ? INITIAL_BACKOFF_NS : Math.min(2 * backoffNs, MAX_BACKOFF_NS);
-        loop.timers.set(backoffTimer, loop.now() + backoffNs);
+        Level level = backoff.recordFailure() ? Level.WARNING : Level.DEBUG;
+        LOG.log(level, "accept failed reason=" + why.getMessage());
+        loop.timers.set(backoffTimer, loop.now() + backoff.nextPauseNs());
         loop.whenDescriptorFreed(resumeAccepting);
         updateInterestOps();
     }
@@ -171,11 +165,10 @@
     }
 
     private void recordSuccess() {
-        if (consecutiveFailures > 0) {
-            LOG.log(Level.INFO, "accept recovered failures=" + consecutiveFailures);
+        long failures = backoff.recordSuccess();
+        if (failures > 0) {
+            LOG.log(Level.INFO, "accept recovered failures=" + failures);
         }
-        consecutiveFailures = 0;
-        backoffNs = 0;
     }
 
     /**
@@ -195,7 +188,7 @@
                             last = acceptOne();
                         }
                         if (last == AcceptResult.FAILED && loop.now() < retryLimitNs) {
-                            loop.timers.set(this, loop.now() + backoffNs);
+                            loop.timers.set(this, loop.now() + backoff.pauseNs());
                         } else {
                             close();
                         }
--- a/src/main/java/beechseam/servlet/BalancerFilter.java
+++ b/src/main/java/beechseam/servlet/BalancerFilter.java
@@ -64,8 +64,10 @@
      * @param large   its body is over the bound
      */
     public record Statuses(int refused, int failed, int late, int large) {
+        /** 503, 502, 504 and 413. */
         public static final Statuses USUAL = new Statuses(503, 502, 504, 413);
 
+        /** Checks that each is from 400 to 599; else an {@link IllegalArgumentException}. */
         public Statuses {
             for (int each : new int[] {refused, failed, late, large}) {
                 if (each < 400 || each > 599) {
--- a/src/test/java/beechseam/http/HttpParserTest.java
+++ b/src/test/java/beechseam/http/HttpParserTest.java
@@ -18,6 +18,31 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    private static void appendRequest(StringBuilder sent, int i, String body, Random random) {
+        sent.append("POST /p")
+                .append(i)
+                .append("?key=")
+                .append(i)
+                .append(" HTTP/1.1\r\nX-Id:\t")
+                .append(i)
+                .append(" \r\n");
+        if (random.nextBoolean()) {
+            sent.append("Content-Length: ")
+                    .append(body.length())
+                    .append("\r\n\r\n")
+                    .append(body);
+        } else {
+            int cut = body.isEmpty() ? 0 : random.nextInt(body.length());
+            sent.append("Transfer-Encoding: chunked\r\n\r\n");
+            for (String part : new String[] {body.substring(0, cut), body.substring(cut)}) {
+                sent.append(part.isEmpty() ? "" : Integer.toHexString(part.length()) + ";x=y\r\n" + part + "\r\n");
+            }
+            sent.append("0\r\n")
+                    .append(random.nextBoolean() ? "Trailer: t\r\n" : "")
+                    .append("\r\n");
+        }
+    }
+
     /** However a sequence of requests is fragmented, the same requests are parsed. */
     @Property(seed = "8081", tries = 300)
     void messagesDoNotDependOnFragmentation(@ForAll long seed) throws HttpException {
@@ -27,28 +52,7 @@
         for (int i = 0; i < 1 + random.nextInt(5); i++) {
             String body = "b".repeat(random.nextInt(40));
             expected.add("/p" + i + "?key=" + i + " " + i + " " + body);
-            sent.append("POST /p")
-                    .append(i)
-                    .append("?key=")
-                    .append(i)
-                    .append(" HTTP/1.1\r\nX-Id:\t")
-                    .append(i)
-                    .append(" \r\n");
-            if (random.nextBoolean()) {
-                sent.append("Content-Length: ")
-                        .append(body.length())
-                        .append("\r\n\r\n")
-                        .append(body);
-            } else {
-                int cut = body.isEmpty() ? 0 : random.nextInt(body.length());
-                sent.append("Transfer-Encoding: chunked\r\n\r\n");
-                for (String part : new String[] {body.substring(0, cut), body.substring(cut)}) {
-                    sent.append(part.isEmpty() ? "" : Integer.toHexString(part.length()) + ";x=y\r\n" + part + "\r\n");
-                }
-                sent.append("0\r\n")
-                        .append(random.nextBoolean() ? "Trailer: t\r\n" : "")
-                        .append("\r\n");
-            }
+            appendRequest(sent, i, body, random);
         }
         HttpParser parser = new HttpParser(true);
         List<String> got = new ArrayList<>();
--- a/src/test/java/beechseam/net/InboundBufferTest.java
+++ b/src/test/java/beechseam/net/InboundBufferTest.java
@@ -11,7 +11,7 @@
 class InboundBufferTest {
     private static int read(InboundBuffer inbound, int bytes, long nowNs) throws IOException {
         inbound.acquire();
-        inbound.ensureRoom();
+        inbound.ensureCapacity();
         int count = inbound.readFrom(Channels.newChannel(new ByteArrayInputStream(new byte[bytes])));
         inbound.recordArrival(count, nowNs);
         return count;
@@ -50,6 +50,6 @@
     void exhaustedPoolFailsTheRead() throws IOException {
         InboundBuffer inbound = new InboundBuffer(new Buffers(0), 3 * Buffers.SIZE);
         read(inbound, Buffers.SIZE, 1);
-        assertThrows(IOException.class, inbound::ensureRoom);
+        assertThrows(IOException.class, inbound::ensureCapacity);
     }
 }
