--- a/src/main/java/beechseam/cli/Serve.java
+++ b/src/main/java/beechseam/cli/Serve.java
@@ -41,28 +41,59 @@
         if (config != null) {
             environment.put("PROXY_CONFIG", config);
         }
-        boolean told = environment.keySet().stream().anyMatch(key -> key.startsWith("PROXY_"));
-        boolean platformWanted = gearman == null ? told : environment.containsKey("PROXY_CONFIG");
-        NodeConfig node = platformWanted ? NodeConfig.of(environment) : null;
-        GearmanConfig second =
-                gearman != null ? GearmanConfig.read(gearman) : platformWanted ? null : GearmanConfig.usual();
+        boolean platformWanted = isPlatformWanted(environment);
+        NodeConfig nodeConfig = platformWanted ? NodeConfig.of(environment) : null;
+        GearmanConfig gearmanConfig = gearmanConfig(platformWanted);
         EventLoop loop = new EventLoop();
-        PlatformNode[] reloaded = {null};
+        PlatformNode[] reloaded = {null}; // SIGHUP may come before the node is built
         Signals.onSignal("HUP", () -> reload(loop, reloaded, environment));
-        PlatformNode platform = node == null ? null : new PlatformNode(loop, node);
+        PlatformNode platform = nodeConfig == null ? null : new PlatformNode(loop, nodeConfig);
         reloaded[0] = platform;
         if (platform != null) {
             platform.reloadsFrom(() -> NodeConfig.reload(environment));
         }
-        GearmanServer jobServer =
-                second == null ? null : new GearmanServer(loop, second, node == null ? System.nanoTime() : node.seed());
-        int[] fronts = {(platform == null ? 0 : 1) + (jobServer == null ? 0 : 1)};
+        GearmanServer jobServer = gearmanConfig == null
+                ? null
+                : new GearmanServer(loop, gearmanConfig, nodeConfig == null ? System.nanoTime() : nodeConfig.seed());
+        Runnable stop = stopAll(loop, platform, jobServer);
+        if (jobServer != null) {
+            jobServer.onShutDown(stop);
+            if (gearman == null) {
+                greet(jobServer.address());
+            }
+        }
+        Signals.onSignal("TERM", () -> loop.post(stop));
+        Signals.onSignal("INT", () -> loop.post(stop));
+        loop.run();
+        printFigures(platform, jobServer);
+        return 0;
+    }
+
+    /** Without an operator's file any variable of the platform's asks for a node, beside one only its configuration. */
+    private boolean isPlatformWanted(Map<String, String> environment) {
+        if (gearman != null) {
+            return environment.containsKey("PROXY_CONFIG");
+        }
+        return environment.keySet().stream().anyMatch(key -> key.startsWith("PROXY_"));
+    }
+
+    /** The job server's configuration, or null where there is to be none. */
+    private GearmanConfig gearmanConfig(boolean platformWanted) throws ConfigException {
+        if (gearman != null) {
+            return GearmanConfig.read(gearman);
+        }
+        return platformWanted ? null : GearmanConfig.usual();
+    }
+
+    /** Stops both front ends; the loop ends when the last of them has ended. */
+    private static Runnable stopAll(EventLoop loop, PlatformNode platform, GearmanServer jobServer) {
+        int[] running = {(platform == null ? 0 : 1) + (jobServer == null ? 0 : 1)};
         Runnable stopped = () -> {
-            if (--fronts[0] == 0) {
+            if (--running[0] == 0) {
                 loop.stop();
             }
         };
-        Runnable stop = () -> {
+        return () -> {
             if (platform != null) {
                 platform.stop(stopped);
             }
@@ -70,15 +101,9 @@
                 jobServer.stop(stopped);
             }
         };
-        if (jobServer != null) {
-            jobServer.onShutDown(stop);
-            if (gearman == null) {
-                greet(jobServer.address());
-            }
-        }
-        Signals.onSignal("TERM", () -> loop.post(stop));
-        Signals.onSignal("INT", () -> loop.post(stop));
-        loop.run();
+    }
+
+    private static void printFigures(PlatformNode platform, GearmanServer jobServer) {
         if (platform != null) {
             System.out.println(platform.counters());
         }
@@ -86,7 +111,6 @@
             System.out.println(jobServer.figures());
         }
         System.out.flush();
-        return 0;
     }
 
     /** For who starts it for the first time. */
@@ -121,7 +145,7 @@
 
     private static void reload(PlatformNode platform, Runnable reload) {
         if (platform == null) {
-            LOG.log(Level.WARNING, "reload: the Gearman front reads its file at the start only");
+            LOG.log(Level.WARNING, "reload ignored front_end=gearman reason=its file is read at the start only");
         } else {
             reload.run();
         }
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -81,7 +81,7 @@
                 .forEach(name -> make(name).pinned = true);
         listener = new Listener(loop, config.listen(), this::accept);
         loop.timers.set(sweep, loop.now() + SWEEP_INTERVAL_NS);
-        LOG.log(Level.INFO, config.name() + " listens for Gearman on " + listener.address());
+        LOG.log(Level.INFO, "job server listening name=" + config.name() + " address=" + listener.address());
     }
 
     /** Where it listens. */
