--- a/src/main/java/beechseam/dispatch/AdmissionPolicy.java
+++ b/src/main/java/beechseam/dispatch/AdmissionPolicy.java
@@ -1,27 +1,28 @@
 package beechseam.dispatch;
 
 /**
- * The reject threshold: whether a job may be sent to a worker, by the wait that is expected there against the time the
- * job has left. Where no worker is under the threshold a job is queued, and shed once its time has passed.
+ * Applies the reject threshold: a job may be sent to a worker if the wait expected there fits into the job's slack, the
+ * time left until its latest start. If no worker is under the threshold, the job is queued, and shed when it expires.
  */
 final class AdmissionPolicy {
-    /** Share of a job's slack that may pass waiting at a worker; of the slack of a class of more weight. */
+    /** Share of its slack that a job may spend waiting at a worker. */
     private static final double QUEUE_FRACTION = 0.7;
-
+    /** Share of the usual slack of a class of higher weight that a job of lower weight may wait at a worker. */
     private static final double YIELD_FRACTION = 0.5;
-    /** Share of a worker's slots that a class of less weight leaves to one of more. */
+    /** Share of a worker's slots that a class of lower weight leaves free for classes of higher weight. */
     private static final double RESERVED_FRACTION = 0.1;
-    /** The least slack of a job, as a share of its class's objective: a late job still counts for something. */
+    /** Minimum slack of a job, as a share of its class's latency objective: a late job still has some value. */
     private static final double MIN_SLACK_FRACTION = 0.25;
-    /** Until so much of its slack has passed a job looks for better, where much is sent unseen. */
+    /** While more than this share of its slack is left, a job accepts only short queues if many sends are unseen. */
     private static final double SEARCH_FRACTION = 0.8;
-    /** How much of its slack a job waits for a slot of its own zone, for each unit of the cost of crossing. */
+    /** Share of its slack that a job waits for a slot in its own zone, for each unit of cross-zone cost. */
     private static final double CROSS_ZONE_WAIT = 3;
-    /** A little above 1: a job that costs nothing to send has no such wait at all. */
+    /** Slightly above 1, so that a job without a cross-zone cost is never made to wait for a local slot. */
     private static final double CROSS_ZONE_MARGIN = 1.05;
-    /** Suspicion from which a run is expected to be slow, so that it has to fit into the slack as well. */
+    /** Suspicion from which runs are expected to be slow, so that the slack must cover the added run time as well. */
     private static final double SLOW_SUSPICION = 1.5;
 
+    /** A job expires this many ticks before its client's deadline. */
     private static final int EXPIRY_TICKS = 2;
 
     private final DispatchContext context;
@@ -40,7 +41,10 @@
         transferCost = fleet.transferCost();
     }
 
-    /** Whether the load there is under the reject threshold; a hedge needs free slots and has to be in time. */
+    /**
+     * Whether the worker is under the reject threshold for the job. A hedge instead requires free slots, a recent load
+     * report and an expected end within the latency objective.
+     */
     boolean isUnderThreshold(PendingJob job, WorkerState worker, boolean hedge) {
         double visibleFraction = context.visibleFraction;
         double suspicion = outliers.suspicion(worker);
@@ -50,22 +54,24 @@
         double maxRemainingNs = Math.max(0, job.latestStart - job.arrivedAt)
                 * (CROSS_ZONE_MARGIN - CROSS_ZONE_WAIT * visibleFraction * transferCost.crossZoneCost(job, worker));
         if (remainingNs > maxRemainingNs) {
-            return false; // a slot may yet free nearer by: the dearer the crossing, the longer the wait
+            return false; // waits for a slot in its own zone: the higher the cross-zone cost, the longer
         }
-        // Where much is sent unseen, an expected wait is often a longer one: for a while it looks for better.
+        // If many sends are unseen, the real wait is often longer than expected, so at first only short queues are
+        // accepted.
         boolean searches = remainingNs > SEARCH_FRACTION * (job.latestStart - job.arrivedAt);
         double queueFraction = QUEUE_FRACTION * (searches ? visibleFraction : 1);
         double slackNs = Math.max(remainingNs, job.jobClass.latencyObjectiveNs() * MIN_SLACK_FRACTION)
                 * queueFraction
                 * job.runTimes.waitTolerance();
-        double reservedSlots = 0; // a job of less weight leaves some room to the next of a class of more
+        double reservedSlots = 0; // slots that a job of lower weight leaves free for classes of higher weight
         for (ClassRunTimes each : runTimes.classes()) {
             if (each.weightPerWork() > job.runTimes.weightPerWork()) {
                 slackNs = Math.min(slackNs, each.usualSlackNs() * YIELD_FRACTION * each.waitTolerance());
                 reservedSlots = RESERVED_FRACTION * worker.slots;
             }
         }
-        // What others hold is a mean among many: one that leaves part of a slot leaves a whole one at times.
+        // With many dispatchers the load of the others is a mean: a worker with part of a slot free on average has a
+        // whole slot free at times.
         double claimed = hedge ? job.requiredSlots : visibleFraction * (job.requiredSlots + reservedSlots);
         double excessSlots = Math.max(0, loads.rawLoad(worker) + claimed - worker.slots);
         if (hedge) {
@@ -77,7 +83,7 @@
                 && (suspicion < SLOW_SUSPICION || job.expectedRunNs * (relativeRunTime - 1) <= slackNs);
     }
 
-    /** Whether what is known of the worker's load is recent, where health checks could renew it. */
+    /** Whether the worker's load report is recent; always true without health checks, which could renew it. */
     private boolean isReportFresh(WorkerState worker) {
         return !context.limits.healthChecks() || loads.reportAge(worker) <= 2 * loads.reportIntervalNs;
     }
@@ -91,13 +97,13 @@
                 / slowStart.slowStartCapacity(worker);
     }
 
-    /** Whether no start can be of use any more, or the client is about to disconnect. */
+    /** Whether starting the job is useless: its client's deadline is near, or it is late and has no late weight. */
     boolean isExpired(PendingJob job) {
         return context.now >= job.clientDeadlineAt - EXPIRY_TICKS * context.tickNs
                 || job.jobClass.lateWeight() <= 0 && context.now > job.latestStart;
     }
 
-    /** Whether the final answer to a job that is not served may promise that a further try is harmless. */
+    /** Whether a job that is not served may be shed, which promises the client that a retry is harmless. */
     static boolean mayShed(PendingJob job) {
         JobClass jobClass = job.jobClass;
         return job.firstThatMayHaveRun() == null
--- a/src/main/java/beechseam/dispatch/Attempt.java
+++ b/src/main/java/beechseam/dispatch/Attempt.java
@@ -10,22 +10,25 @@
     /** Its number among the attempts of the job, from 0. */
     final int number;
 
-    /** Times by the host's clock, in nanoseconds; the last is when it was last known to make progress. */
+    /** Time of the send. Like all times here it is by the host's clock, in nanoseconds. */
     final long sentAt;
 
     long startedAt = NOT_STARTED;
+    /** Time of the latest known progress; at first the time of the send. */
     long lastProgressAt;
 
-    /** The latest reported progress, from 0 to 1, and the fastest progress seen, a nanosecond. */
+    /** Latest reported progress, from 0 to 1. */
     double progress;
-
+    /** Highest rate of progress seen, per nanosecond. */
     double bestProgressRate;
     /** Whether the worker was estimated to have enough free slots for it when it was sent. */
     final boolean foundSlotsAvailable;
 
     boolean cancelled;
     boolean ended;
+    /** Whether it is certain that the worker did not run the job. */
     boolean neverRan;
+    /** Whether the worker must get no further attempt of the job. */
     boolean barsWorker;
 
     Attempt(PendingJob job, WorkerState worker, long sentAt, boolean foundSlotsAvailable) {
--- a/src/main/java/beechseam/dispatch/DispatchActions.java
+++ b/src/main/java/beechseam/dispatch/DispatchActions.java
@@ -1,26 +1,26 @@
 package beechseam.dispatch;
 
-/** What a dispatcher can do. Attempts of a job are numbered from 0 in the order of {@code send}. */
+/** The actions of a dispatcher. The attempts of a job are numbered from 0 in the order of {@code send}. */
 public interface DispatchActions {
-    /** Sends an attempt; {@code timeoutNs} is how long it may take, in nanoseconds, 0 for no limit of its own. */
+    /** Sends an attempt; {@code timeoutNs} limits its duration, in nanoseconds, 0 for no limit of its own. */
     void send(long job, long worker, long timeoutNs);
 
-    /** Cancels an attempt; its end is still owed to {@link DispatchEvents#attemptEnded}. */
+    /** Cancels an attempt; the host must still report its end by {@link DispatchEvents#attemptEnded}. */
     void cancel(long job, int attempt);
 
-    /** Final answer: not done, and harmless to retry after {@code retryAfterNs} nanoseconds (0: no advice). */
+    /** Gives the final answer: not done, harmless to retry after {@code retryAfterNs} nanoseconds (0 for no advice). */
     void shed(long job, long retryAfterNs);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Gives the final answer: failed, and it is unknown whether the job had an effect. */
     void fail(long job);
 
-    /** Asks a worker for its load; {@link DispatchEvents#healthCheckCompleted} is owed once. */
+    /** Asks a worker for its load; the host must call {@link DispatchEvents#healthCheckCompleted} exactly once. */
     void healthCheck(long worker);
 
-    /** Has {@link DispatchEvents#timerFired} called with the tag after so many nanoseconds. */
+    /** Schedules a call of {@link DispatchEvents#timerFired} with the tag after {@code delayNs} nanoseconds. */
     void scheduleTimer(long delayNs, long tag);
 
-    /** Asks for the endpoint list and its changes. */
+    /** Requests the endpoint list and its changes. */
     void watchEndpoints();
 
     /** Writes a line to the log. */
--- a/src/main/java/beechseam/dispatch/DispatchContext.java
+++ b/src/main/java/beechseam/dispatch/DispatchContext.java
@@ -1,24 +1,25 @@
 package beechseam.dispatch;
 
 /**
- * What all parts of one dispatcher share: its settings, what follows from them, and the time of the event that is
- * being handled. The parts have no clock; {@link Dispatcher} sets the time first thing in each event.
+ * The state that all parts of one dispatcher share: its settings, values derived from them, and the time of the event
+ * being handled. The parts read no clock; {@link Dispatcher} sets the time at the start of each event.
  */
 final class DispatchContext {
-    /** Of up to so many dispatchers each can tell by reports and own sends what the others do; of more, less. */
+    /** Up to this many dispatchers can each infer all sends from load reports and own sends; more see only a part. */
     static final double MOST_VISIBLE_DISPATCHERS = 8;
-    /** How far back own sends are remembered to date a report; no report is taken to be older. */
+    /** How long own sends are remembered to date a load report; no report is assumed to be older. */
     static final double HISTORY_NS = 4e9;
 
-    /** The tick is this part of the shortest latency objective, and no shorter than a least. */
+    /** Minimum length of the tick. */
     static final long MIN_TICK_NS = 20_000_000L;
 
+    /** Number of ticks in the shortest latency objective. */
     private static final int TICKS_PER_OBJECTIVE = 8;
 
     final DispatchSettings settings;
     final DispatchLimits limits;
     final WorkerRules rules;
-    /** Which part of all dispatchers' sends this one can account for, from 0 to 1. */
+    /** Fraction of all dispatchers' sends that this one can account for, from 0 to 1. */
     final double visibleFraction;
 
     final long shortestObjectiveNs;
@@ -32,8 +33,8 @@
         limits = settings.limits();
         rules = settings.rules();
         double visible = Math.min(1, MOST_VISIBLE_DISPATCHERS / Math.max(1, settings.dispatcherCount()));
-        visibleFraction =
-                visible * visible; // its own sends are one part of all, its own answers one part of the reports
+        // Squared: own sends are a fraction of all sends, and the reports in own answers a fraction of all reports.
+        visibleFraction = visible * visible;
         long shortest = Long.MAX_VALUE;
         for (JobClass jobClass : settings.classes()) {
             shortest = Math.min(shortest, Math.max(jobClass.latencyObjectiveNs(), MIN_TICK_NS));
--- a/src/main/java/beechseam/dispatch/DispatchEvents.java
+++ b/src/main/java/beechseam/dispatch/DispatchEvents.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** What the host tells a dispatcher. Every call hands over the time by the host's clock, in nanoseconds. */
+/** The events that the host reports to a dispatcher, each with the time by the host's clock, in nanoseconds. */
 public interface DispatchEvents {
-    /** The endpoint list has changed, or could not be had. */
+    /** The endpoint list has changed, or could not be fetched. */
     void endpointsUpdated(long now, EndpointUpdate update, List<WorkerEndpoint> entries);
 
     /** A job has arrived. */
@@ -16,12 +16,13 @@
     /** An attempt reports its progress, from 0 to 1. */
     void attemptProgressed(long now, long job, int attempt, double done);
 
-    /** A streamed answer has begun; the job is this attempt's from here on. */
+    /** A streamed answer has begun: only this attempt can serve the job from now on. */
     void streamingStarted(long now, long job, int attempt);
 
     /**
-     * The attempt's worker gets no further attempt of the job: what it reports of the two could not be told apart, or a
-     * further one could arrive before the cancellation of this one. Told before the attempt's end.
+     * The attempt's worker must get no further attempt of the job, because its reports about the two attempts could not
+     * be told apart, or because a further attempt could arrive before the cancellation of this one. The host calls this
+     * before it reports the attempt's end.
      */
     void barWorker(long now, long job, int attempt);
 
@@ -29,7 +30,7 @@
      * An attempt has ended.
      *
      * @param closed whether the job needs no answer any more
-     * @param load   the worker's load report, or null when none came along
+     * @param load   the worker's load report, or null if none came with the end
      */
     void attemptEnded(long now, long job, int attempt, Outcome outcome, boolean closed, LoadReport load);
 
--- a/src/main/java/beechseam/dispatch/DispatchLimits.java
+++ b/src/main/java/beechseam/dispatch/DispatchLimits.java
@@ -1,15 +1,15 @@
 package beechseam.dispatch;
 
 /**
- * What the deployment permits.
+ * The limits that the deployment sets.
  *
- * @param maxAttempts     the most attempts of a job
- * @param maxRetryAfterNs the longest wait that a client may be told, in nanoseconds
- * @param retryAfter      whether a client may be told to wait at all
+ * @param maxAttempts     the maximum number of attempts of a job
+ * @param maxRetryAfterNs the longest retry delay that a client may be given, in nanoseconds
+ * @param retryAfter      whether a client may be given a retry delay
  * @param cancel          whether attempts may be cancelled
  * @param healthChecks    whether workers may be asked for their load
  * @param hedging         whether a job may have several attempts in flight
- * @param idleTimeoutNs   after how long without use a connection closes, in nanoseconds
+ * @param idleTimeoutNs   the time after which an unused connection closes, in nanoseconds
  */
 public record DispatchLimits(
         int maxAttempts,
--- a/src/main/java/beechseam/dispatch/DispatchSettings.java
+++ b/src/main/java/beechseam/dispatch/DispatchSettings.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * What holds for the life of a dispatcher.
+ * The settings of a dispatcher, fixed for its life.
  *
- * @param classes            the classes of jobs; a job names its class by its place here
- * @param limits             what the deployment permits
+ * @param classes            the job classes; a job refers to its class by the index in this list
+ * @param limits             the limits that the deployment sets
  * @param rules              the rules for draining and for workers that have just started
  * @param loadReportSource   where load reports come from
- * @param pollsEndpoints     whether the dispatcher has to ask for the endpoint list
+ * @param pollsEndpoints     whether the dispatcher has to request the endpoint list
  * @param dispatcherCount    how many dispatchers share the workers
- * @param dispatcherIndex    this dispatcher's number among them
+ * @param dispatcherIndex    this dispatcher's index among them, from 0
  * @param zone               this dispatcher's zone
- * @param reportsStart       whether workers report that a job has begun
- * @param progressIntervalNs the time between two progress reports of a run, in nanoseconds; 0 for none
- * @param crossZoneCost      what a job in another zone costs, as a share of the mean priority weight
- * @param handshakeCost      what a new connection costs, likewise
- * @param healthCheckCost    what a health check costs, likewise
- * @param weightByWork       whether a class's priority weight is that of a unit of work, else that of a job
- * @param liveWeights        whether a worker's weight is its size over 1 + what it holds for each slot, as
- *     of a while ago
+ * @param reportsStart       whether workers report the start of a job
+ * @param progressIntervalNs the interval of a run's progress reports, in nanoseconds; 0 for none
+ * @param crossZoneCost      the cost of sending a job to another zone, as a share of the mean priority weight
+ * @param handshakeCost      the cost of a new connection, in the same unit
+ * @param healthCheckCost    the cost of a health check, in the same unit
+ * @param weightByWork       whether a class's priority weight applies to a unit of work instead of a job
+ * @param liveWeights        whether a worker's weight in the endpoint list is its size divided by 1 + its load
+ *     per slot, with some delay
  */
 public record DispatchSettings(
         List<JobClass> classes,
@@ -38,7 +38,7 @@
         double healthCheckCost,
         boolean weightByWork,
         boolean liveWeights) {
-    /** The same without live weights. */
+    /** Creates settings without live weights. */
     public DispatchSettings(
             List<JobClass> classes,
             DispatchLimits limits,
--- a/src/main/java/beechseam/dispatch/Dispatcher.java
+++ b/src/main/java/beechseam/dispatch/Dispatcher.java
@@ -4,13 +4,14 @@
 import java.util.Random;
 
 /**
- * The decision module: speed-scaled least-loaded dispatch (eLL), one dispatcher. It is told {@link DispatchEvents} and
- * answers with {@link DispatchActions}. Each job goes to the worker that {@link WorkerSelector} chooses; where all
- * exceed the reject threshold it is queued while its latency objective can still be met, then shed.
+ * Decides which worker runs each job, by speed-scaled least-loaded dispatch (eLL). The host reports {@link
+ * DispatchEvents}; the dispatcher responds with {@link DispatchActions}. {@link WorkerSelector} chooses the worker for
+ * a job. If all workers exceed the reject threshold, the job is queued while its latency objective can still be met,
+ * then shed.
  *
- * <p>This class tells each event to the parts that it concerns, in a fixed order; each part decides one thing.
- * Single-threaded, with no clock and no I/O: the same events, seed and settings give the same actions. More:
- * docs/DESIGN.md.
+ * <p>This class passes each event to the policies and estimators that it concerns, in a fixed order. It is
+ * single-threaded, reads no clock and does no I/O: the same events, seed and settings produce the same actions. The
+ * design is described in docs/DESIGN.md.
  */
 public final class Dispatcher implements DispatchEvents {
     private static final long TICK_TIMER = 1;
@@ -29,12 +30,13 @@
     private boolean ticking;
 
     /**
-     * A dispatcher that knows no worker yet; where the settings say so it asks for the endpoint list at once.
+     * Creates a dispatcher without workers. It requests the endpoint list at once if {@link
+     * DispatchSettings#pollsEndpoints} is set.
      *
      * @param now      the time by the host's clock, in nanoseconds
-     * @param settings what holds for the life of this dispatcher
-     * @param seed     of all random draws
-     * @param actions  called from within the events
+     * @param settings the settings, fixed for the life of this dispatcher
+     * @param seed     the seed of all random draws
+     * @param actions  carries out the dispatcher's actions; called from within the event methods
      */
     public Dispatcher(long now, DispatchSettings settings, long seed, DispatchActions actions) {
         this.actions = actions;
@@ -158,7 +160,7 @@
         }
     }
 
-    /** The run counts as if the worker had been warm: selection takes slow start into account by itself. */
+    /** Records the run time scaled to a warm worker, since worker selection accounts for slow start separately. */
     private void recordRun(Attempt attempt) {
         long from = attempt.hasStarted() ? attempt.startedAt : attempt.sentAt;
         double capacity = fleet.slowStart().slowStartCapacity(attempt.worker, from);
@@ -194,7 +196,7 @@
     private void tick() {
         ticking = false;
         fleet.table().refresh(context.shortestObjectiveNs);
-        healthChecker.checkSilentWorkers();
+        healthChecker.sendDueHealthChecks();
         jobs.checkAttempts();
         jobs.expireQueue();
         jobs.dispatchQueue();
@@ -227,7 +229,7 @@
         }
     }
 
-    /** Whether the worker is passed over for its suspicion, as a rule; false when it is not known. */
+    /** Whether the worker is ready but usually not selected because of its suspicion; false for an unknown worker. */
     public boolean isEjected(long now, long workerId) {
         context.now = now;
         WorkerState worker = fleet.table().get(workerId);
@@ -235,20 +237,24 @@
     }
 
     /**
-     * When the attempt must have begun where it repeats one that may have run, by the host's clock in nanoseconds, else
-     * {@link Long#MAX_VALUE}; the host asks again, as an attempt may wait for a connection.
+     * The latest time at which this attempt may begin if it retries an attempt of a keyed job that may have run, by the
+     * host's clock in nanoseconds; otherwise {@link Long#MAX_VALUE}. The host checks it again before it sends the
+     * attempt, which may have waited for a connection.
      */
     public long retryDeadline(long job, int number) {
         return RetryPolicy.retryDeadline(jobs.job(job), number);
     }
 
-    /** What was learned, for the dispatcher of the next process: for a while this one sends warming workers nothing. */
+    /**
+     * Exports what was learned, for the dispatcher of the successor process. For one overload window afterwards this
+     * dispatcher sends nothing to workers that are warming up.
+     */
     public LearnedState exportLearnedState(long now) {
         context.now = now;
         return learnedState.exportState();
     }
 
-    /** Takes over what another dispatcher has learned; what that lacks, or has otherwise, stays as it is. */
+    /** Imports what another dispatcher has learned; entries that are missing or malformed leave the state unchanged. */
     public void importLearnedState(long now, LearnedState state) {
         context.now = now;
         learnedState.importState(state);
--- a/src/main/java/beechseam/dispatch/HealthChecker.java
+++ b/src/main/java/beechseam/dispatch/HealthChecker.java
@@ -1,11 +1,11 @@
 package beechseam.dispatch;
 
 /**
- * Which worker is asked for its load and when: those that have not reported for long, sooner where there are no other
- * reports or the worker is ejected, as far as a budget in proportion to arrivals goes.
+ * Sends health checks to workers that have not reported their load for long. A check is due sooner if health checks are
+ * the only source of reports or the worker is ejected. A budget in proportion to arrivals limits the checks.
  */
 final class HealthChecker {
-    /** What health checks may cost for each job that arrives, in the points that the settings price them at. */
+    /** Cost of health checks allowed for each arriving job, in the unit of {@link DispatchSettings#healthCheckCost}. */
     private static final double COST_PER_JOB = 0.003;
 
     private static final double MIN_COST = 1e-6;
@@ -15,7 +15,7 @@
     private final LoadEstimator loads;
     private final OutlierDetector outliers;
     private final DispatchActions actions;
-    /** Checks that may be made; unlimited until the first job arrives. */
+    /** Checks that may be sent now; unlimited until the first job arrives. */
     private double budget = Double.MAX_VALUE;
 
     HealthChecker(FleetModel fleet, DispatchActions actions) {
@@ -31,8 +31,8 @@
         budget = Math.min(2 * table.size(), budget + perJob);
     }
 
-    /** Checks all workers that are due, in the order of the table. */
-    void checkSilentWorkers() {
+    /** Sends a health check to each worker that is due, in the order of the table, while the budget lasts. */
+    void sendDueHealthChecks() {
         if (!context.limits.healthChecks()) {
             return;
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    /** One that answers no check has no newer report: it has a pause all the same. */
+    /** Whether a check is due. An unanswered check, which brings no newer report, delays the next one as well. */
     private boolean isDue(WorkerState worker) {
         boolean soon =
                 context.settings.loadReportSource() == LoadReportSource.HEALTH_CHECKS || outliers.isEjected(worker);
@@ -54,7 +54,7 @@
                 > (soon ? 2 * loads.reportIntervalNs : DispatchContext.HISTORY_NS);
     }
 
-    /** The check of this worker is over; {@code load} may be null. */
+    /** Records the result of the worker's health check; {@code load} may be null. */
     void recordResult(WorkerState worker, boolean answered, LoadReport load) {
         worker.healthCheckPending = false;
         if (answered) {
--- a/src/main/java/beechseam/dispatch/HedgingPolicy.java
+++ b/src/main/java/beechseam/dispatch/HedgingPolicy.java
@@ -1,11 +1,11 @@
 package beechseam.dispatch;
 
 /**
- * When a job whose only attempt is stuck gets a second one elsewhere. Where a job may have but one attempt in flight,
- * one that waits migrates instead: it is recalled, and sent on once its end is confirmed.
+ * Decides when a job whose only attempt is stuck gets a hedge at another worker. If a job may have only one attempt in
+ * flight, a waiting attempt is recalled instead, and the job migrates to another worker once the end is confirmed.
  */
 final class HedgingPolicy {
-    /** An attempt that has not begun is stuck after this share of its class's objective. */
+    /** An attempt that has not started is stuck after this share of its class's latency objective. */
     private static final double STUCK_FRACTION = 0.25;
 
     private final DispatchContext context;
@@ -19,18 +19,21 @@
         this.outliers = outliers;
     }
 
-    /** Where little is visible a hedge waits as the first does, and what is cancelled may run all the same. */
+    /**
+     * Adds to the hedging budget in proportion to the visible fraction of sends: with many dispatchers a hedge is
+     * likely to wait as long as the first attempt, and a cancelled attempt may run all the same.
+     */
     void recordArrival() {
         hedgingBudget = Math.min(
                 RetryPolicy.MAX_SAVED_BUDGET, hedgingBudget + RetryPolicy.BUDGET_PER_JOB * context.visibleFraction);
     }
 
-    /** Whether stuck attempts are recalled, rather than hedged. */
+    /** Whether stuck attempts are recalled instead of hedged. */
     boolean migrates() {
         return !context.limits.hedging() && context.limits.cancel();
     }
 
-    /** Whether the job's only attempt is stuck, and a hedge or a migration allowed. */
+    /** Whether the job's only attempt is stuck and a hedge or a migration is allowed. */
     boolean isDue(PendingJob job) {
         if (job.answered
                 || job.inFlight != 1
@@ -48,7 +51,7 @@
         return context.limits.hedging() && retries.hasBudget() && hedgingBudget >= 1;
     }
 
-    /** It waits there, or runs at a suspected worker: only the first may be recalled. */
+    /** Whether the attempt has waited too long or runs at a suspected worker; a running one is never recalled. */
     private boolean isStuck(Attempt attempt) {
         if (!attempt.hasStarted()) {
             return context.now - attempt.sentAt > attempt.job.jobClass.latencyObjectiveNs() * STUCK_FRACTION;
@@ -56,7 +59,7 @@
         return !migrates() && outliers.isHighlySuspected(attempt.worker);
     }
 
-    /** A hedge is sent: it is charged as a retry too. */
+    /** Charges a hedge that is sent to both the hedging budget and the retry budget. */
     void spend() {
         retries.spend();
         hedgingBudget--;
--- a/src/main/java/beechseam/dispatch/Idempotency.java
+++ b/src/main/java/beechseam/dispatch/Idempotency.java
@@ -1,12 +1,12 @@
 package beechseam.dispatch;
 
-/** What running a job a second time does. */
+/** The effect of running a job a second time. */
 public enum Idempotency {
-    /** Nothing: a retry is always harmless. */
+    /** No effect: a retry is always harmless. */
     IDEMPOTENT("safe"),
-    /** Nothing within the {@link DeduplicationScope} of the first run, while its idempotency key is kept. */
+    /** No effect within the {@link DeduplicationScope} of the first run, as long as its idempotency key is kept. */
     KEYED("keyed"),
-    /** Harm: an attempt that may have run is never retried. */
+    /** Harmful: an attempt that may have run is never retried. */
     NON_IDEMPOTENT("unsafe");
 
     private final String settingName;
@@ -15,7 +15,7 @@
         this.settingName = settingName;
     }
 
-    /** The name of this value in an operator's file; used by configuration alone. */
+    /** The name of this value in an operator's file; only the configuration uses it. */
     @Override
     public String toString() {
         return settingName;
--- a/src/main/java/beechseam/dispatch/JobLifecycle.java
+++ b/src/main/java/beechseam/dispatch/JobLifecycle.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What becomes of each job: it is sent or queued, its attempts are cancelled, hedged or migrated, and it gets its final
- * answer. A job is known from its arrival until it is answered and no attempt of it is in flight.
+ * Tracks each job from its arrival until it is answered and has no attempt in flight: sends or queues it, cancels,
+ * hedges or migrates its attempts, and gives the final answer if it is not served.
  */
 final class JobLifecycle {
     private final DispatchContext context;
@@ -14,12 +14,12 @@
     private final Policies policies;
     private final StatusLog statusLog;
     private final DispatchActions actions;
-    /** Jobs by their numbers, in the order of arrival. */
+    /** Open jobs by id, in the order of arrival. */
     private final Map<Long, PendingJob> jobsInFlight = new LinkedHashMap<>();
 
     private final JobQueue queue = new JobQueue();
 
-    /** What decides about a job. */
+    /** The policies that decide about a job. */
     record Policies(WorkerSelector selector, AdmissionPolicy admission, RetryPolicy retries, HedgingPolicy hedging) {}
 
     JobLifecycle(FleetModel fleet, Policies policies, StatusLog statusLog, DispatchActions actions) {
@@ -30,12 +30,12 @@
         this.actions = actions;
     }
 
-    /** The job of this number, or null. */
+    /** The open job with this id, or null. */
     PendingJob job(long id) {
         return jobsInFlight.get(id);
     }
 
-    /** The attempt of this number of this job, or null when it is not known or has ended. */
+    /** The attempt of this job with this number, or null if it is unknown or has ended. */
     Attempt openAttempt(long jobId, int number) {
         PendingJob job = jobsInFlight.get(jobId);
         return job == null ? null : job.openAttempt(number);
@@ -53,10 +53,10 @@
         jobsInFlight.put(job.job.id(), job);
     }
 
-    /** Decides what becomes of a job with no attempt in flight: sent, queued, or its final answer. */
+    /** Sends or queues a job that has no attempt in flight, or gives its final answer. */
     void resolve(PendingJob job) {
         if (job.answered || job.inFlight > 0) {
-            forgetIfDone(job);
+            removeIfDone(job);
             return;
         }
         if (!policies.retries.mayAttempt(job) || policies.admission.isExpired(job)) {
@@ -87,22 +87,22 @@
         actions.send(job.job.id(), worker.endpoint.id(), 0);
     }
 
-    /** Sends queued jobs in their order, as far as there are workers under the threshold. */
+    /** Sends each queued job, in queue order, for which a worker is under the reject threshold. */
     void dispatchQueue() {
-        int place = 0;
-        while (place < queue.size()) {
-            PendingJob job = queue.get(place);
+        int index = 0;
+        while (index < queue.size()) {
+            PendingJob job = queue.get(index);
             WorkerState worker = policies.selector.select(job, false);
             if (worker != null) {
-                queue.remove(place);
+                queue.remove(index);
                 send(job, worker);
             } else {
-                place++;
+                index++;
             }
         }
     }
 
-    /** Detects stalls of all attempts in flight, and gives jobs that are stuck a further one. */
+    /** Detects stalled attempts, and hedges or migrates the jobs that are stuck. */
     void checkAttempts() {
         for (PendingJob job : List.copyOf(jobsInFlight.values())) {
             for (Attempt attempt : job.attempts) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Gives a stuck job a further attempt, or recalls its attempt, where another worker would still be in time. */
+    /** Sends a hedge of a stuck job, or recalls its attempt, if another worker can still serve the job in time. */
     private void hedgeOrMigrate(PendingJob job) {
         WorkerState worker = policies.hedging.isDue(job) ? policies.selector.select(job, true) : null;
         if (worker != null && policies.hedging.migrates()) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Answers queued jobs whose time has passed. */
+    /** Gives queued jobs that have expired their final answer. */
     void expireQueue() {
         for (PendingJob job : queue.snapshot()) {
             if (policies.admission.isExpired(job)) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /** The final answer to a job that is not served: shed where a further try is sure to be harmless, else failed. */
+    /** Gives the final answer to a job that is not served: shed if a retry is certainly harmless, otherwise failed. */
     private void answer(PendingJob job) {
         job.answered = true;
         if (AdmissionPolicy.mayShed(job)) {
@@ -143,18 +143,18 @@
             statusLog.recordFailed();
             actions.fail(job.job.id());
         }
-        forgetIfDone(job);
+        removeIfDone(job);
     }
 
-    /** The job needs no answer any more. */
+    /** Closes a job that needs no answer any more, and cancels its attempts. */
     void abandon(PendingJob job) {
         job.answered = true;
         queue.remove(job);
         cancelAttempts(job, null);
-        forgetIfDone(job);
+        removeIfDone(job);
     }
 
-    /** Cancels all attempts of the job except one, which may be null. */
+    /** Cancels all open attempts of the job except {@code excluded}, which may be null. */
     void cancelAttempts(PendingJob job, Attempt excluded) {
         for (Attempt attempt : job.attempts) {
             if (attempt != excluded) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Cancels all attempts of the job that wait at their workers: another one runs. */
+    /** Cancels the attempts of the job that have not started, because another one has. */
     void cancelWaitingAttempts(PendingJob job) {
         for (Attempt attempt : job.attempts) {
             if (!attempt.hasStarted()) {
@@ -183,7 +183,7 @@
         actions.cancel(attempt.job.job.id(), attempt.number);
     }
 
-    private void forgetIfDone(PendingJob job) {
+    private void removeIfDone(PendingJob job) {
         if (job.answered && job.inFlight == 0) {
             jobsInFlight.remove(job.job.id());
         }
--- a/src/main/java/beechseam/dispatch/JobQueue.java
+++ b/src/main/java/beechseam/dispatch/JobQueue.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Jobs that wait here for a worker: the most weight a unit of work first, then by latest start. */
+/** Jobs waiting in this dispatcher, by priority weight per unit of work (highest first), then by latest start. */
 final class JobQueue {
     private final List<PendingJob> jobs = new ArrayList<>();
 
-    /** Queues a job behind all that do not come after it; O(n) from the end. */
+    /** Inserts a job behind all jobs that it does not precede; O(n) from the end. */
     void enqueue(PendingJob job) {
-        int place = jobs.size();
-        while (place > 0 && precedes(job, jobs.get(place - 1))) {
-            place--;
+        int index = jobs.size();
+        while (index > 0 && precedes(job, jobs.get(index - 1))) {
+            index--;
         }
-        jobs.add(place, job);
+        jobs.add(index, job);
     }
 
     private static boolean precedes(PendingJob job, PendingJob other) {
@@ -22,12 +22,12 @@
                 : job.latestStart < other.latestStart;
     }
 
-    PendingJob get(int place) {
-        return jobs.get(place);
+    PendingJob get(int index) {
+        return jobs.get(index);
     }
 
-    void remove(int place) {
-        jobs.remove(place);
+    void remove(int index) {
+        jobs.remove(index);
     }
 
     void remove(PendingJob job) {
@@ -38,7 +38,7 @@
         return jobs.size();
     }
 
-    /** A copy, to walk while jobs are removed. */
+    /** A copy to iterate over while jobs are removed. */
     List<PendingJob> snapshot() {
         return List.copyOf(jobs);
     }
--- a/src/main/java/beechseam/dispatch/Outcome.java
+++ b/src/main/java/beechseam/dispatch/Outcome.java
@@ -1,18 +1,18 @@
 package beechseam.dispatch;
 
-/** How an attempt ended. Some outcomes prove that the job never ran there. */
+/** How an attempt ended. Some outcomes prove that the worker never ran the job. */
 public enum Outcome {
     /** The worker did the job. */
     SERVED("served", false),
-    /** The worker says that the job failed. */
+    /** The worker reported that the job failed. */
     ERROR("error", false),
-    /** The worker took no work on; whether that proves anything is told by {@link WorkerRules}. */
+    /** The worker rejected the job; whether that proves that it never ran depends on {@link WorkerRules}. */
     REJECTED("refused", true),
     /** No answer came in time. */
     TIMEOUT("timeout", false),
-    /** No connection to the worker could be had. */
+    /** No connection to the worker could be opened. */
     UNREACHABLE("unreachable", true),
-    /** The connection broke after the job may have begun. */
+    /** The connection was lost after the job may have begun. */
     LOST("lost", false),
     /** This dispatcher cancelled the attempt. */
     CANCELLED("cancelled", false),
@@ -27,7 +27,7 @@
         this.neverRan = neverRan;
     }
 
-    /** The name under which ends of this kind are counted in the line that operators read. */
+    /** The name of this outcome's counter in the line of counters that operators read. */
     public String counterName() {
         return counterName;
     }
--- a/src/main/java/beechseam/dispatch/PendingJob.java
+++ b/src/main/java/beechseam/dispatch/PendingJob.java
@@ -4,29 +4,30 @@
 import java.util.List;
 
 /**
- * A job from its arrival until it is answered and none of its attempts is in flight. Its times are derived once, on
- * arrival; all are by the host's clock, in nanoseconds.
+ * A job from its arrival until it is answered and has no attempt in flight. Its times are computed once, on arrival,
+ * and all are by the host's clock, in nanoseconds.
  */
 final class PendingJob {
     final Job job;
     final JobClass jobClass;
     final ClassRunTimes runTimes;
-    /** The larger of its demands for slots and for memory. */
+    /** The larger of its slot demand and its memory demand, in slots of a worker. */
     final double requiredSlots;
 
     final long arrivedAt;
     final long clientDeadlineAt;
-    /** When its latency objective ends, and the latest start that is expected to meet it. */
+    /** End of its latency objective. */
     final long objectiveAt;
-
+    /** Latest start that is expected to meet the latency objective. */
     final long latestStart;
+
     final double expectedRunNs;
     final List<Attempt> attempts = new ArrayList<>(1);
     int inFlight;
     boolean answered;
     boolean streaming;
 
-    /** The run times of the class know the job's budget already: {@link ClassRunTimes#recordBudget}. */
+    /** The run times of the class must already include the job's budget: {@link ClassRunTimes#recordBudget}. */
     PendingJob(long now, Job job, ClassRunTimes runTimes) {
         this.job = job;
         this.runTimes = runTimes;
@@ -34,8 +35,9 @@
         requiredSlots = Math.max(job.slots(), job.memory());
         arrivedAt = now;
         clientDeadlineAt = now + job.budgetNs();
-        // The objective runs from the client's first attempt. Where retries are not marked, a shorter budget shows one;
-        // where they are, it shows an impatient client: taken for a retry its job would be late at once.
+        // The objective runs from the client's first attempt. If clients do not mark retries, a budget below the
+        // longest seen indicates a retry. If they do, an unmarked job with a short budget is a first attempt with an
+        // early deadline; treated as a retry, it would be late on arrival.
         double elapsed = job.firstAttempt() ? 0 : runTimes.longestBudgetNs - job.budgetNs();
         expectedRunNs = Math.exp(runTimes.expectedLog(job));
         double objective =
@@ -44,7 +46,7 @@
         latestStart = (long) (objectiveAt - expectedRunNs);
     }
 
-    /** The first attempt that may have run or is still in flight, or null. */
+    /** The first attempt that may have run, including one still in flight, or null. */
     Attempt firstThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (!attempt.neverRan) {
@@ -58,7 +60,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** The attempt of this number, or null when there is none or it has ended. */
+    /** The attempt with this number, or null if it does not exist or has ended. */
     Attempt openAttempt(int number) {
         return number < 0 || number >= attempts.size() || attempts.get(number).ended ? null : attempts.get(number);
     }
--- a/src/main/java/beechseam/dispatch/RetryPolicy.java
+++ b/src/main/java/beechseam/dispatch/RetryPolicy.java
@@ -1,14 +1,15 @@
 package beechseam.dispatch;
 
 /**
- * Which further attempts of a job are allowed. One that never ran may be followed by any; one that may have run binds
- * the next by the class's idempotency: none, or a worker of the deduplication scope within its window, or any. A
- * budget in proportion to arrivals keeps retries from multiplying an overload.
+ * Decides which further attempts of a job are allowed. An attempt that never ran does not restrict the next one. After
+ * an attempt that may have run, a non-idempotent job gets no further attempt, a keyed job only one at a worker of the
+ * deduplication scope within the idempotency window, and an idempotent job one at any worker. A budget in proportion to
+ * arrivals keeps retries from amplifying an overload.
  */
 final class RetryPolicy {
-    /** Retries (and hedges) for each job that arrives, and the most that all dispatchers together save up. */
+    /** Retries (and hedges) that each arriving job adds to the budget. */
     static final double BUDGET_PER_JOB = 0.1;
-
+    /** Maximum number of retries that all dispatchers together save up. */
     static final double MAX_SAVED_BUDGET = 20;
 
     private final DispatchContext context;
@@ -31,13 +32,13 @@
         retryBudget--;
     }
 
-    /** Whether a next attempt is charged to the budget: an earlier one may have run. */
+    /** Whether the next attempt is charged to the budget, because an earlier one may have run. */
     boolean isCharged(PendingJob job) {
-        // Where hedges are barred only a job that waited is recalled: it had not begun, and is no retry.
+        // Without hedging only an attempt that has not started is recalled; sending the job on is not a retry.
         return job.firstThatMayHaveRun() != null && (context.limits.hedging() || !job.lastAttempt().cancelled);
     }
 
-    /** Whether the job may have a further attempt, as far as class, limit and budget go. */
+    /** Whether the class's idempotency, the attempt limit and the retry budget allow a further attempt of the job. */
     boolean mayAttempt(PendingJob job) {
         boolean mayHaveRun = job.firstThatMayHaveRun() != null;
         return !(mayHaveRun && job.jobClass.idempotency() == Idempotency.NON_IDEMPOTENT)
@@ -45,7 +46,7 @@
                 && !(isCharged(job) && !hasBudget());
     }
 
-    /** Whether an attempt at the worker is in flight, barred it, or was sent there only just. */
+    /** Whether an attempt at the worker is in flight, barred it, or was sent within the shortest latency objective. */
     boolean attemptedRecently(PendingJob job, WorkerState worker) {
         for (Attempt attempt : job.attempts) {
             boolean recent = !attempt.ended || context.now - attempt.sentAt < context.shortestObjectiveNs;
@@ -56,7 +57,10 @@
         return false;
     }
 
-    /** Whether the worker would drop a retry of an attempt that ran, or none may have run. */
+    /**
+     * Whether the worker may get a further attempt of the job. If an attempt of a keyed job may have run, the worker
+     * must be in the deduplication scope and the idempotency window must last for at least another tick.
+     */
     boolean deduplicationScopeAllows(PendingJob job, WorkerState worker) {
         Attempt first = job.firstThatMayHaveRun();
         boolean bound = first != null && job.jobClass.idempotency() == Idempotency.KEYED;
@@ -72,7 +76,7 @@
         };
     }
 
-    /** Until when the attempt of this number may begin, or {@link Long#MAX_VALUE}; the job may be null. */
+    /** The latest time at which this attempt may begin, or {@link Long#MAX_VALUE} for any; the job may be null. */
     static long retryDeadline(PendingJob job, int number) {
         Attempt first = job == null ? null : job.firstThatMayHaveRun();
         boolean bound = first != null && first.number < number && job.jobClass.idempotency() == Idempotency.KEYED;
--- a/src/main/java/beechseam/dispatch/StatusLog.java
+++ b/src/main/java/beechseam/dispatch/StatusLog.java
@@ -1,15 +1,15 @@
 package beechseam.dispatch;
 
-/** Logs a line at most every five seconds while workers are ejected or jobs are not served. */
+/** Logs at most one status line in five seconds while workers are ejected or jobs are not served. */
 final class StatusLog {
     private static final long INTERVAL_NS = 5_000_000_000L;
 
     private final FleetModel fleet;
     private final DispatchActions actions;
     private long loggedAt;
-    /** Final answers since the latest line. */
+    /** Jobs shed since the latest line. */
     private long shed;
-
+    /** Jobs failed since the latest line. */
     private long failed;
 
     StatusLog(FleetModel fleet, DispatchActions actions) {
--- a/src/main/java/beechseam/dispatch/WorkerSelector.java
+++ b/src/main/java/beechseam/dispatch/WorkerSelector.java
@@ -5,28 +5,29 @@
 import java.util.Random;
 
 /**
- * Chooses the worker for a job: of the eligible ones under the reject threshold that of lowest effective load, least
- * recently used on ties. This is speed-scaled least-loaded dispatch, eLL; in the paper's symbols, with parallel batch
- * size pbl = 1 and its dampening d = 0 (see {@link LoadEstimator}),
+ * Chooses the worker for a job: the eligible worker under the reject threshold that has the lowest effective load. An
+ * idle connection, then least recent use break ties. This is speed-scaled least-loaded dispatch (eLL). In the symbols
+ * of its paper, with a parallel batch size of pbl = 1 and a dampening of d = 0 (see {@link LoadEstimator}),
  *
  * <pre>el = floor((sf / tol) * (nrl + pbl * need))</pre>
  *
- * where el is {@link #effectiveLoad}, sf {@link #speedFactor}, tol {@link #TOLERANCE_SLOTS}, nrl the raw load, need the
- * job's required slots, and PI, of which sf is made, the performance index.
+ * where el is {@link #effectiveLoad}, sf {@link #speedFactor}, tol {@link #TOLERANCE_SLOTS}, nrl the raw load and need
+ * the job's required slots; sf is derived from PI, the performance index.
  *
- * <p>A few dispatchers choose among all workers, O(n). Of many, each samples some: "The power of two choices in
- * randomized load balancing" (Mitzenmacher, 2001), and for stale reports his "How useful is old information?" (2000).
+ * <p>If few dispatchers share the workers, each considers all of them, in O(n). If many do, each considers a random
+ * sample; see Mitzenmacher, "The power of two choices in randomized load balancing" (2001) and, for stale reports, "How
+ * useful is old information?" (2000).
  */
 final class WorkerSelector {
-    /** Among loads this close, in slots, the least recently used decides. */
+    /** Effective loads are rounded down to multiples of this many slots, so smaller differences count as ties. */
     private static final double TOLERANCE_SLOTS = 0.25;
-    /** Of many dispatchers each samples so many ready workers for a job, or its visible share of them. */
+    /** If many dispatchers share the workers, each samples its visible fraction of them, but at least this many. */
     private static final int MIN_SAMPLED = 2;
-    /** Draws for a sample: so many, and more for each worker wanted. */
+    /** Random draws allowed for a sample, regardless of its size. */
     private static final int MIN_DRAWS = 24;
-
+    /** Further draws allowed for each worker wanted in the sample. */
     private static final int DRAWS_PER_WANTED = 2;
-    /** Of so many jobs one goes by the least recent use where loads are equal. */
+    /** One send in this many breaks ties by least recent use alone. */
     private static final int JOBS_PER_EXPLORATION = 8;
 
     private final DispatchContext context;
@@ -38,7 +39,7 @@
     private final TransferCost transferCost;
     private final AdmissionPolicy admission;
     private final Random random;
-    /** Workers that have ended an attempt; some may have no open connection any more. */
+    /** Workers at which an attempt has ended; their connections may have closed since. */
     private final List<WorkerState> connectedWorkers = new ArrayList<>();
 
     private long sends;
@@ -55,13 +56,13 @@
         this.random = random;
     }
 
-    /** The worker for the job, or for a hedge of it, or null when all exceed the threshold. */
+    /** Returns the worker for the job or for a hedge of it, or null if no eligible one is under the threshold. */
     WorkerState select(PendingJob job, boolean hedge) {
         WorkerState best = null;
         double bestLoad = 0;
         for (WorkerState worker : candidates(job)) {
             double load = effectiveLoad(worker, job);
-            // Most are no better than the best so far: what costs more to evaluate comes after.
+            // Most workers do not beat the best one so far, so the costlier checks come last.
             boolean better = best == null || load < bestLoad || load == bestLoad && precedes(worker, best);
             if (better && isEligible(job, worker) && admission.isUnderThreshold(job, worker, hedge)) {
                 best = worker;
@@ -71,15 +72,16 @@
         return best;
     }
 
-    /** Effective load with the job on it, and what sending it there costs, in units of the tolerance. */
+    /** The worker's effective load including this job, plus the transfer cost, in units of the tolerance. */
     private double effectiveLoad(WorkerState worker, PendingJob job) {
         double load = Math.floor(speedFactor(worker) / TOLERANCE_SLOTS * (loads.rawLoad(worker) + job.requiredSlots));
         return load + Math.floor(transferCost.transferCost(job, worker) / TOLERANCE_SLOTS);
     }
 
-    /** How many times longer the worker takes than the fastest. */
+    /** How many times longer a run takes at this worker than at the fastest, given suspicion and slow start. */
     private double speedFactor(WorkerState worker) {
-        // One that has just started gets a job at once: it warms by use, and its run tells more than a guess.
+        // A worker that has just started is rated as warm until it gets a job: it warms up by running jobs, and a run
+        // is better evidence of its speed than the slow-start estimate.
         boolean untried = context.seesAllSends() && worker.sentWhileWarming.isEmpty();
         return worker.performanceIndex
                 / table.minPerformanceIndex()
@@ -98,8 +100,9 @@
     }
 
     /**
-     * Of equal loads an open connection decides, which costs no handshake, then the least recent use; now and then that
-     * alone, or a worker that is never used could never show that it is faster.
+     * Breaks the tie between two workers of equal load: an idle connection comes first, because it needs no handshake,
+     * then the least recent use. Occasionally only the least recent use counts, since a worker that is never used could
+     * not show that it is faster.
      */
     private boolean precedes(WorkerState worker, WorkerState other) {
         boolean explores = sends % JOBS_PER_EXPLORATION == 0;
@@ -110,8 +113,9 @@
     }
 
     /**
-     * The workers that a job may go to: all, where this dispatcher can account for all sends. Many dispatchers with the
-     * same late reports would all choose alike; there each samples by capacity, with one worker of an open connection.
+     * The workers considered for a job: all of them if this dispatcher can account for all sends. Otherwise many
+     * dispatchers with the same delayed reports would all choose the same worker, so each considers a sample that is
+     * weighted by capacity and includes a worker with an idle connection.
      */
     private Iterable<WorkerState> candidates(PendingJob job) {
         if (context.seesAllSends()) {
@@ -119,7 +123,7 @@
         }
         List<WorkerState> ready = table.ready();
         int warming = table.warmingWorkers().size();
-        List<WorkerState> sampled = new ArrayList<>(table.warmingWorkers()); // their turns are not left to chance
+        List<WorkerState> sampled = new ArrayList<>(table.warmingWorkers()); // so that no slow-start turn is missed
         WorkerState connected = sampleConnected();
         if (connected != null && !sampled.contains(connected) && isEligible(job, connected)) {
             sampled.add(connected);
@@ -135,27 +139,27 @@
         return sampled;
     }
 
-    /** Any worker with an open connection, or null: of very many workers one drawn at random has none. */
+    /** A random worker with an idle connection, or null; among very many workers a plain draw rarely finds one. */
     private WorkerState sampleConnected() {
         while (!connectedWorkers.isEmpty()) {
-            int place = random.nextInt(connectedWorkers.size());
-            WorkerState worker = connectedWorkers.get(place);
+            int index = random.nextInt(connectedWorkers.size());
+            WorkerState worker = connectedWorkers.get(index);
             if (worker.isReady() && transferCost.hasIdleConnection(worker)) {
                 return worker;
             }
-            connectedWorkers.set(place, connectedWorkers.get(connectedWorkers.size() - 1));
+            connectedWorkers.set(index, connectedWorkers.get(connectedWorkers.size() - 1));
             connectedWorkers.remove(connectedWorkers.size() - 1);
             worker.listedAsConnected = false;
         }
         return null;
     }
 
-    /** An attempt is sent to the worker. */
+    /** Records that an attempt is sent to the worker. */
     void recordSend(WorkerState worker) {
         worker.lastUsed = ++sends;
     }
 
-    /** An attempt has ended at the worker, which may leave a connection open. */
+    /** Records that an attempt has ended at the worker, which may leave an idle connection. */
     void recordEnd(WorkerState worker) {
         if (!worker.listedAsConnected && !context.seesAllSends()) {
             worker.listedAsConnected = connectedWorkers.add(worker);
