--- a/src/test/java/beechseam/dispatch/ConnectionReuseTest.java
+++ b/src/test/java/beechseam/dispatch/ConnectionReuseTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which of many equal workers a job goes to: one with an open connection, while that costs no balance. */
+/** Among equally loaded workers a job goes to one with an idle connection, as long as the load stays balanced. */
 class ConnectionReuseTest {
-    /** Half of the rig's limit on idle connections, as the node's pool keeps them. */
+    /** Half of the harness's idle timeout: the node's pool closes its connections that early. */
     private static final long IDLE_TIMEOUT_NS = 5 * S;
 
     private static final int SLOTS = 4;
 
-    /** A run under way, at a module and a worker. */
-    private record Run(long endsAt, int module, long job, long worker) {}
+    /** A job of a dispatcher that runs at a worker. */
+    private record Run(long endsAt, int dispatcher, long job, long worker) {}
 
-    /** Modules of one group in virtual time, with workers that run each job for its time at once. */
+    /** Dispatchers of one group in virtual time, with workers that start each job at once. */
     private static final class DispatcherGroup {
-        private final List<Dispatcher> modules = new ArrayList<>();
+        private final List<Dispatcher> dispatchers = new ArrayList<>();
         private final List<Map<Long, ArrayDeque<Long>>> idle = new ArrayList<>();
         private final PriorityQueue<Run> runs = new PriorityQueue<>(Comparator.comparing(Run::endsAt));
         private final Map<Long, Integer> inFlight = new HashMap<>();
@@ -38,7 +38,7 @@
         private long sentTo;
         private int opened;
 
-        private DispatcherGroup(int modules, int groupSize, int workers) {
+        private DispatcherGroup(int dispatchers, int groupSize, int workers) {
             DispatchSettings settings = DispatcherHarness.settings(
                     LoadReportSource.ANSWERS,
                     false,
@@ -48,15 +48,15 @@
             for (int i = 1; i <= workers; i++) {
                 entries.add(DispatcherHarness.worker(i, "z1", 0, EndpointState.READY));
             }
-            for (int i = 0; i < modules; i++) {
-                this.modules.add(new Dispatcher(now, settings, i + 1, new Sends()));
-                this.modules.get(i).endpointsUpdated(now, EndpointUpdate.SNAPSHOT, entries);
+            for (int i = 0; i < dispatchers; i++) {
+                this.dispatchers.add(new Dispatcher(now, settings, i + 1, new SendRecorder()));
+                this.dispatchers.get(i).endpointsUpdated(now, EndpointUpdate.SNAPSHOT, entries);
                 idle.add(new HashMap<>());
             }
         }
 
-        /** Notes where the module sends a job; the test needs nothing else of it. */
-        private final class Sends implements DispatchActions {
+        /** Records the worker that a job is sent to, and ignores all other actions. */
+        private final class SendRecorder implements DispatchActions {
             @Override
             public void send(long job, long worker, long timeoutNs) {
                 sentTo = worker;
@@ -84,24 +84,24 @@
             public void log(String text) {}
         }
 
-        /** A job for the module that runs for so long; 0 where it was not sent at once. */
-        private long job(int module, long runNs) {
+        /** Submits a job with this run time; returns the worker it is sent to, or 0 if it is not sent at once. */
+        private long job(int dispatcher, long runNs) {
             sentTo = 0;
             long job = ++lastJob;
-            modules.get(module).jobArrived(now, new Job(job, 0, 4 * S, 0, 1, 0));
+            dispatchers.get(dispatcher).jobArrived(now, new Job(job, 0, 4 * S, 0, 1, 0));
             long worker = sentTo;
             if (worker != 0) {
-                connect(module, worker);
+                connect(dispatcher, worker);
                 inFlight.merge(worker, 1, Integer::sum);
                 sent.merge(worker, 1, Integer::sum);
-                modules.get(module).attemptStarted(now, job, 0);
-                runs.add(new Run(now + runNs, module, job, worker));
+                dispatchers.get(dispatcher).attemptStarted(now, job, 0);
+                runs.add(new Run(now + runNs, dispatcher, job, worker));
             }
             return worker;
         }
 
-        private void connect(int module, long worker) {
-            ArrayDeque<Long> open = idle.get(module).computeIfAbsent(worker, id -> new ArrayDeque<>());
+        private void connect(int dispatcher, long worker) {
+            ArrayDeque<Long> open = idle.get(dispatcher).computeIfAbsent(worker, id -> new ArrayDeque<>());
             while (!open.isEmpty() && open.peekFirst() < now - IDLE_TIMEOUT_NS) {
                 open.removeFirst();
             }
@@ -109,92 +109,98 @@
             open.pollLast();
         }
 
-        private void pass(long ns) {
+        private void advance(long ns) {
             long until = now + ns;
             while (!runs.isEmpty() && runs.peek().endsAt <= until) {
                 Run run = runs.poll();
                 now = run.endsAt;
-                int left = inFlight.merge(run.worker, -1, Integer::sum);
-                idle.get(run.module).get(run.worker).addLast(now);
-                modules.get(run.module)
+                int remaining = inFlight.merge(run.worker, -1, Integer::sum);
+                idle.get(run.dispatcher).get(run.worker).addLast(now);
+                dispatchers
+                        .get(run.dispatcher)
                         .attemptEnded(
                                 now,
                                 run.job,
                                 0,
                                 Outcome.SERVED,
                                 true,
-                                DispatcherHarness.load(left, Math.max(0, left - SLOTS), Math.max(0, SLOTS - left)));
+                                DispatcherHarness.load(
+                                        remaining, Math.max(0, remaining - SLOTS), Math.max(0, SLOTS - remaining)));
             }
             now = until;
         }
 
         private int run(int jobs, long gapNs, long runNs) {
             for (int i = 0; i < jobs; i++) {
-                job(i % modules.size(), runNs);
-                pass(gapNs);
+                job(i % dispatchers.size(), runNs);
+                advance(gapNs);
             }
             return opened;
         }
     }
 
-    /** Sixty jobs a second for 25 s through one node, alone or one of many. */
+    /** One dispatcher, alone or in a group, sends sixty jobs a second for 25 s. */
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 16, 100})
     void connectionsGrowLittleWithSixteenTimesTheWorkers(int groupSize) {
-        int usual = new DispatcherGroup(1, groupSize, 200).run(1500, S / 60, 150 * MS);
-        int many = new DispatcherGroup(1, groupSize, 3200).run(1500, S / 60, 150 * MS);
-        assertTrue(many <= 2.5 * usual + 40, many + " connections where 200 workers need " + usual);
+        int with200Workers = new DispatcherGroup(1, groupSize, 200).run(1500, S / 60, 150 * MS);
+        int with3200Workers = new DispatcherGroup(1, groupSize, 3200).run(1500, S / 60, 150 * MS);
+        assertTrue(
+                with3200Workers <= 2.5 * with200Workers + 40,
+                with3200Workers + " connections, where 200 workers need " + with200Workers);
     }
 
     @Test
     void effectiveLoadThenIdleConnectionThenLeastRecentUseDecides() {
-        DispatcherGroup one = new DispatcherGroup(1, 1, 3);
-        long first = one.job(0, 10 * MS);
-        one.pass(20 * MS);
-        assertEquals(first, one.job(0, S), "idle, with a connection");
-        long second = one.job(0, 10 * MS);
+        DispatcherGroup group = new DispatcherGroup(1, 1, 3);
+        long first = group.job(0, 10 * MS);
+        group.advance(20 * MS);
+        assertEquals(first, group.job(0, S), "idle and with a connection");
+        long second = group.job(0, 10 * MS);
         assertTrue(second != first, "the first is busy");
-        one.pass(20 * MS);
-        assertEquals(second, one.job(0, S), "of the other two one has a connection");
-        long third = one.job(0, S);
-        assertTrue(third != first && third != second, "the last that is idle");
+        group.advance(20 * MS);
+        assertEquals(second, group.job(0, S), "the only idle worker with a connection");
+        long third = group.job(0, S);
+        assertTrue(third != first && third != second, "the only idle worker");
     }
 
     @Test
     void idleConnectionOfAnUnusedWorkerExpires() {
-        DispatcherGroup one = new DispatcherGroup(1, 1, 2);
-        long first = one.job(0, 10 * MS);
-        one.pass(IDLE_TIMEOUT_NS + S);
-        assertTrue(one.job(0, 10 * MS) != first, "the least recently used");
+        DispatcherGroup group = new DispatcherGroup(1, 1, 2);
+        long first = group.job(0, 10 * MS);
+        group.advance(IDLE_TIMEOUT_NS + S);
+        assertTrue(
+                group.job(0, 10 * MS) != first,
+                "its connection has expired, so the least recently used worker gets the job");
     }
 
     @Test
     void drainingPreferredWorkerIsReplaced() {
         for (int groupSize : new int[] {1, 100}) {
-            DispatcherGroup one = new DispatcherGroup(1, groupSize, 50);
-            one.run(100, 20 * MS, 10 * MS);
-            long preferred = one.job(0, 10 * MS);
-            one.pass(20 * MS);
+            DispatcherGroup group = new DispatcherGroup(1, groupSize, 50);
+            group.run(100, 20 * MS, 10 * MS);
+            long preferred = group.job(0, 10 * MS);
+            group.advance(20 * MS);
             WorkerEndpoint draining = DispatcherHarness.worker(preferred, "z1", 0, EndpointState.DRAINING);
-            one.modules.get(0).endpointsUpdated(one.now, EndpointUpdate.DELTA, List.of(draining));
+            group.dispatchers.get(0).endpointsUpdated(group.now, EndpointUpdate.DELTA, List.of(draining));
             for (int i = 0; i < 200; i++) {
-                long at = one.job(0, 10 * MS);
-                assertTrue(at != 0 && at != preferred, "of " + groupSize + ": " + at);
-                one.pass(20 * MS);
+                long worker = group.job(0, 10 * MS);
+                assertTrue(worker != 0 && worker != preferred, "group of " + groupSize + ": sent to " + worker);
+                group.advance(20 * MS);
             }
         }
     }
 
-    /** Each node prefers workers that it has connections to; together they must not prefer the same. */
+    /** Each dispatcher prefers workers that it has connections to; all of them must not prefer the same workers. */
     @Test
     void hundredDispatchersBalanceJobsAcrossAllWorkers() {
         int workers = 60;
-        DispatcherGroup fleet = new DispatcherGroup(100, 100, workers);
-        fleet.run(12_000, S / 600, 150 * MS);
+        DispatcherGroup group = new DispatcherGroup(100, 100, workers);
+        group.run(12_000, S / 600, 150 * MS);
         double mean = 12_000.0 / workers;
         int most =
-                fleet.sent.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        assertEquals(workers, fleet.sent.size(), "none is left out");
-        assertTrue(most < 1.5 * mean, "one got " + most + " of a mean of " + mean);
+                group.sent.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+        assertEquals(workers, group.sent.size(), "every worker is used");
+        assertTrue(most < 1.5 * mean, "one worker got " + most + " jobs, the mean is " + mean);
     }
 }
--- a/src/test/java/beechseam/dispatch/DispatchFixture.java
+++ b/src/test/java/beechseam/dispatch/DispatchFixture.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The parts of a dispatcher without the dispatcher: a time that the test sets, and workers that it names. */
+/** The estimators and policies of a dispatcher without the dispatcher; tests set the time and add the workers. */
 final class DispatchFixture {
     static final long MS = DispatcherHarness.MS;
     static final long S = DispatcherHarness.S;
@@ -20,7 +20,7 @@
         return new DispatchFixture(DispatcherHarness.settings(DispatcherHarness.of(idempotency, scope)));
     }
 
-    /** A worker in cell 0 of the zone that started at this time, in nanoseconds, or long ago (0). */
+    /** Adds a worker in cell 0 of the zone that started at this time, in nanoseconds, or long ago (0). */
     WorkerState worker(long id, String zone, long startedNs) {
         WorkerEndpoint entry = DispatcherHarness.worker(id, zone, startedNs, EndpointState.READY);
         fleet.table().applyEndpointUpdate(EndpointUpdate.DELTA, List.of(entry));
@@ -33,7 +33,7 @@
         return new PendingJob(context.now, job, fleet.runTimes().classes()[0]);
     }
 
-    /** An attempt that is sent now. */
+    /** Records an attempt that is sent now. */
     Attempt attempt(PendingJob job, WorkerState worker) {
         Attempt attempt = new Attempt(job, worker, context.now, true);
         job.attempts.add(attempt);
@@ -43,7 +43,7 @@
         return attempt;
     }
 
-    /** The attempt ends now. */
+    /** Records that the attempt ends now. */
     void end(Attempt attempt, boolean neverRan) {
         attempt.ended = true;
         attempt.neverRan = neverRan;
--- a/src/test/java/beechseam/dispatch/DispatcherHarness.java
+++ b/src/test/java/beechseam/dispatch/DispatcherHarness.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A module under test with the actions it has taken, and short ways to build what it is told. */
+/** A dispatcher under test that records its actions, with helpers that build its settings and events. */
 final class DispatcherHarness implements DispatchActions {
     static final long MS = 1_000_000L;
     static final long S = 1_000_000_000L;
 
     static final WorkerRules RULES = new WorkerRules(S / 4, 8 * S, 0.25, 8 * S, 3, S, false);
 
-    final List<String> done = new ArrayList<>();
-    final Dispatcher module;
+    final List<String> actions = new ArrayList<>();
+    final Dispatcher dispatcher;
     long now = 100 * S;
 
     DispatcherHarness(DispatchSettings settings) {
@@ -19,7 +19,7 @@
     }
 
     DispatcherHarness(DispatchSettings settings, long seed) {
-        module = new Dispatcher(now, settings, seed, this);
+        dispatcher = new Dispatcher(now, settings, seed, this);
     }
 
     static JobClass of(Idempotency idempotency, DeduplicationScope scope) {
@@ -45,8 +45,8 @@
                 false);
     }
 
-    /** Workers that may answer "full" for work that they had begun. */
-    static DispatchSettings fullIsNoProof(JobClass... classes) {
+    /** Settings under which a worker may reject a job that it has begun. */
+    static DispatchSettings settingsWhereRejectionMayHaveRun(JobClass... classes) {
         DispatchSettings s = settings(classes);
         WorkerRules rules = new WorkerRules(S / 4, 8 * S, 0.25, 8 * S, 3, S, true);
         return new DispatchSettings(
@@ -79,94 +79,94 @@
         for (int i = 1; i <= count; i++) {
             entries.add(worker(i, "z1", 0, EndpointState.READY));
         }
-        module.endpointsUpdated(now, EndpointUpdate.CACHED, entries);
+        dispatcher.endpointsUpdated(now, EndpointUpdate.CACHED, entries);
         return this;
     }
 
-    /** Hands over a job of class 0 that needs one slot; returns the worker it went to, or 0. */
+    /** Submits a job of class 0 that requires one slot; returns the worker it is sent to, or 0 if it is not sent. */
     long job(long id) {
         return job(id, 0, 1, 4 * S);
     }
 
     long job(long id, int jobClass, double slots, long budget) {
-        module.jobArrived(now, new Job(id, jobClass, budget, 0, slots, 0));
+        dispatcher.jobArrived(now, new Job(id, jobClass, budget, 0, slots, 0));
         return workerOf(id);
     }
 
     long workerOf(long id) {
-        long at = 0;
-        for (String line : done) {
+        long worker = 0;
+        for (String line : actions) {
             String[] words = line.split(" ");
-            at = words[0].equals("send") && words[1].equals("" + id) ? Long.parseLong(words[2]) : at;
+            worker = words[0].equals("send") && words[1].equals("" + id) ? Long.parseLong(words[2]) : worker;
         }
-        return at;
+        return worker;
     }
 
     void end(long id, int attempt, Outcome outcome, LoadReport load) {
-        module.attemptEnded(now, id, attempt, outcome, outcome == Outcome.SERVED, load);
+        dispatcher.attemptEnded(now, id, attempt, outcome, outcome == Outcome.SERVED, load);
     }
 
-    /** Runs a job from start to end in the given time on whatever worker takes it. */
+    /** Reports the start of the job's first attempt and, after the given time, its successful end. */
     void run(long id, long time, LoadReport load) {
-        module.attemptStarted(now, id, 0);
+        dispatcher.attemptStarted(now, id, 0);
         now += time;
         end(id, 0, Outcome.SERVED, load);
     }
 
     void tick(long ns) {
         now += ns;
-        module.timerFired(now, 1);
+        dispatcher.timerFired(now, 1);
     }
 
-    static LoadReport load(double held, double waiting, double free) {
-        return new LoadReport(held, waiting, free, Double.NaN, Double.NaN);
+    static LoadReport load(double inFlight, double queued, double free) {
+        return new LoadReport(inFlight, queued, free, Double.NaN, Double.NaN);
     }
 
-    boolean did(String action) {
-        return done.contains(action);
+    boolean hasAction(String action) {
+        return actions.contains(action);
     }
 
     long count(String prefix) {
-        return done.stream().filter(line -> line.startsWith(prefix)).count();
+        return actions.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
     @Override
     public void send(long job, long worker, long timeoutNs) {
-        done.add("send " + job + " " + worker);
+        actions.add("send " + job + " " + worker);
     }
 
     @Override
     public void cancel(long job, int attempt) {
-        done.add("cancel " + job + " " + attempt);
+        actions.add("cancel " + job + " " + attempt);
     }
 
     @Override
     public void shed(long job, long retryAfterNs) {
-        done.add("refuse " + job);
+        actions.add("shed " + job);
     }
 
     @Override
     public void fail(long job) {
-        done.add("fail " + job);
+        actions.add("fail " + job);
     }
 
     @Override
     public void healthCheck(long worker) {
-        done.add("probe " + worker);
+        actions.add("healthCheck " + worker);
     }
 
     @Override
     public void scheduleTimer(long delayNs, long tag) {
-        done.add("wake " + tag);
+        actions.add("scheduleTimer " + tag);
     }
 
     @Override
     public void watchEndpoints() {
-        done.add("watch");
+        actions.add("watchEndpoints");
     }
 
     @Override
     public void log(String text) {
-        done.add("log " + text);
+        actions.add("log " + text);
     }
 }
--- a/src/test/java/beechseam/dispatch/EmbeddingTest.java
+++ b/src/test/java/beechseam/dispatch/EmbeddingTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example of a host, whole. */
+/** The README's example of a host, in full. */
 class EmbeddingTest {
-    /** A host keeps connections and timers behind these; here it only notes the calls. */
+    /** A real host carries out these actions with connections and timers; this one only records them. */
     private static final class Host implements DispatchActions {
         final List<String> actions = new ArrayList<>();
 
@@ -24,7 +24,7 @@
 
         @Override
         public void shed(long job, long retryAfterNs) {
-            actions.add("refuse job " + job);
+            actions.add("shed job " + job);
         }
 
         @Override
@@ -34,12 +34,12 @@
 
         @Override
         public void healthCheck(long worker) {
-            actions.add("probe");
+            actions.add("health check");
         }
 
         @Override
         public void scheduleTimer(long delayNs, long tag) {
-            // a host sets a timer here that calls wake
+            // a real host sets a timer here that calls timerFired
         }
 
         @Override
--- a/src/test/java/beechseam/dispatch/JobQueueTest.java
+++ b/src/test/java/beechseam/dispatch/JobQueueTest.java
@@ -19,7 +19,7 @@
         ClassRunTimes[] classes = fixture.fleet.runTimes().classes();
         JobQueue queue = new JobQueue();
         long[][] arrivals = {{1, 0, 9}, {2, 0, 8}, {3, 1, 9}, {4, 0, 9}, {5, 1, 8}};
-        for (long[] each : arrivals) { // id, class, budget in seconds that is shorter than the objective allows
+        for (long[] each : arrivals) { // id, class, budget in tenths of a second (shorter than the objective)
             Job job = new Job(each[0], (int) each[1], each[2] * S / 10, 0, 1, 0, true);
             queue.enqueue(new PendingJob(fixture.context.now, job, classes[(int) each[1]]));
         }
--- a/src/test/java/beechseam/dispatch/RetryPolicyTest.java
+++ b/src/test/java/beechseam/dispatch/RetryPolicyTest.java
@@ -8,14 +8,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** With three attempts at most, an objective of 400 ms and an idempotency window of 2 s. */
+/** Settings: at most three attempts, a latency objective of 400 ms and an idempotency window of 2 s. */
 class RetryPolicyTest {
     private DispatchFixture fixture;
     private RetryPolicy retries;
     private WorkerState worker;
     private PendingJob job;
 
-    private void use(Idempotency idempotency, DeduplicationScope scope) {
+    private void setUp(Idempotency idempotency, DeduplicationScope scope) {
         fixture = DispatchFixture.of(idempotency, scope);
         retries = new RetryPolicy(fixture.context);
         worker = fixture.worker(1, "z1", 0);
@@ -24,7 +24,7 @@
 
     @Test
     void budgetGrowsByATenthForEachArrivalUpToItsMaximum() {
-        use(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        setUp(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         assertTrue(retries.hasBudget());
         retries.spend();
         assertFalse(retries.hasBudget());
@@ -40,7 +40,7 @@
 
     @Test
     void nonIdempotentJobIsRetriedOnlyIfItNeverRan() {
-        use(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        setUp(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
         fixture.end(fixture.attempt(job, worker), true);
         assertTrue(retries.mayAttempt(job));
         assertFalse(retries.isCharged(job));
@@ -50,7 +50,7 @@
 
     @Test
     void attemptsAreLimitedByCountAndBudget() {
-        use(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        setUp(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         fixture.end(fixture.attempt(job, worker), false);
         assertTrue(retries.mayAttempt(job));
         assertTrue(retries.isCharged(job));
@@ -66,7 +66,7 @@
 
     @Test
     void workerIsSkippedWhileInFlightBarredOrRecent() {
-        use(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        setUp(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         assertFalse(retries.attemptedRecently(job, worker));
         Attempt attempt = fixture.attempt(job, worker);
         fixture.context.now += S;
@@ -78,22 +78,22 @@
         assertTrue(retries.attemptedRecently(job, worker), "ended, sent 399 ms ago");
         attempt.barsWorker = true;
         fixture.context.now += 100 * S;
-        assertTrue(retries.attemptedRecently(job, worker), "barred for good");
+        assertTrue(retries.attemptedRecently(job, worker), "a bar does not expire");
     }
 
     @Test
     void keyedRetryStaysInScopeUntilATickBeforeTheWindowEnds() {
-        use(Idempotency.KEYED, DeduplicationScope.ZONE);
+        setUp(Idempotency.KEYED, DeduplicationScope.ZONE);
         WorkerState sameZone = fixture.worker(2, "z1", 0);
         WorkerState otherZone = fixture.worker(3, "z2", 0);
-        assertTrue(retries.deduplicationScopeAllows(job, otherZone), "nothing may have run");
+        assertTrue(retries.deduplicationScopeAllows(job, otherZone), "no attempt may have run");
         Attempt first = fixture.attempt(job, worker);
         fixture.end(first, false);
         assertTrue(retries.deduplicationScopeAllows(job, sameZone));
         assertFalse(retries.deduplicationScopeAllows(job, otherZone));
         assertEquals(first.sentAt + 2 * S, RetryPolicy.retryDeadline(job, 1));
-        assertEquals(Long.MAX_VALUE, RetryPolicy.retryDeadline(job, 0), "no retry");
-        assertEquals(Long.MAX_VALUE, RetryPolicy.retryDeadline(null, 1), "not known");
+        assertEquals(Long.MAX_VALUE, RetryPolicy.retryDeadline(job, 0), "the first attempt is no retry");
+        assertEquals(Long.MAX_VALUE, RetryPolicy.retryDeadline(null, 1), "the job is unknown");
         fixture.context.now = first.sentAt + 2 * S - fixture.context.tickNs;
         assertTrue(retries.deduplicationScopeAllows(job, sameZone));
         fixture.context.now++;
@@ -102,14 +102,14 @@
 
     @Test
     void scopeOfAllWorkersAllowsAnyZone() {
-        use(Idempotency.KEYED, DeduplicationScope.ALL);
+        setUp(Idempotency.KEYED, DeduplicationScope.ALL);
         fixture.end(fixture.attempt(job, worker), false);
         assertTrue(retries.deduplicationScopeAllows(job, fixture.worker(3, "z2", 0)));
     }
 
     @Test
     void scopeOfACellRequiresZoneAndCell() {
-        use(Idempotency.KEYED, DeduplicationScope.CELL);
+        setUp(Idempotency.KEYED, DeduplicationScope.CELL);
         fixture.end(fixture.attempt(job, worker), false);
         assertTrue(retries.deduplicationScopeAllows(job, fixture.worker(2, "z1", 0)));
         assertFalse(retries.deduplicationScopeAllows(job, fixture.worker(3, "z2", 0)), "cell 0 of another zone");
