--- a/src/main/java/beechseam/dispatch/AdmissionPolicy.java
+++ b/src/main/java/beechseam/dispatch/AdmissionPolicy.java
@@ -14,7 +14,7 @@
     /** Minimum slack of a job, as a share of its class's latency objective: a late job still has some value. */
     private static final double MIN_SLACK_FRACTION = 0.25;
     /** While more than this share of its slack is left, a job accepts only short queues if many sends are unseen. */
-    private static final double SEARCH_FRACTION = 0.8;
+    private static final double SHORT_QUEUE_FRACTION = 0.8;
     /** Share of its slack that a job waits for a slot in its own zone, for each unit of cross-zone cost. */
     private static final double CROSS_ZONE_WAIT = 3;
     /** Slightly above 1, so that a job without a cross-zone cost is never made to wait for a local slot. */
@@ -58,8 +58,8 @@
         }
         // If many sends are unseen, the real wait is often longer than expected, so at first only short queues are
         // accepted.
-        boolean searches = remainingNs > SEARCH_FRACTION * (job.latestStart - job.arrivedAt);
-        double queueFraction = QUEUE_FRACTION * (searches ? visibleFraction : 1);
+        boolean acceptsOnlyShortQueues = remainingNs > SHORT_QUEUE_FRACTION * (job.latestStart - job.arrivedAt);
+        double queueFraction = QUEUE_FRACTION * (acceptsOnlyShortQueues ? visibleFraction : 1);
         double slackNs = Math.max(remainingNs, job.jobClass.latencyObjectiveNs() * MIN_SLACK_FRACTION)
                 * queueFraction
                 * job.runTimes.waitTolerance();
@@ -72,8 +72,8 @@
         }
         // With many dispatchers the load of the others is a mean: a worker with part of a slot free on average has a
         // whole slot free at times.
-        double claimed = hedge ? job.requiredSlots : visibleFraction * (job.requiredSlots + reservedSlots);
-        double excessSlots = Math.max(0, loads.rawLoad(worker) + claimed - worker.slots);
+        double claimedSlots = hedge ? job.requiredSlots : visibleFraction * (job.requiredSlots + reservedSlots);
+        double excessSlots = Math.max(0, loads.rawLoad(worker) + claimedSlots - worker.slots);
         if (hedge) {
             return excessSlots == 0
                     && isReportFresh(worker)
--- a/src/main/java/beechseam/dispatch/RetryPolicy.java
+++ b/src/main/java/beechseam/dispatch/RetryPolicy.java
@@ -63,9 +63,9 @@
      */
     boolean deduplicationScopeAllows(PendingJob job, WorkerState worker) {
         Attempt first = job.firstThatMayHaveRun();
-        boolean bound = first != null && job.jobClass.idempotency() == Idempotency.KEYED;
-        if (!bound || context.now > windowEnd(first) - context.tickNs) {
-            return !bound;
+        boolean restricted = first != null && job.jobClass.idempotency() == Idempotency.KEYED;
+        if (!restricted || context.now > windowEnd(first) - context.tickNs) {
+            return !restricted;
         }
         WorkerEndpoint origin = first.worker.endpoint;
         WorkerEndpoint target = worker.endpoint;
@@ -79,8 +79,8 @@
     /** The latest time at which this attempt may begin, or {@link Long#MAX_VALUE} for any; the job may be null. */
     static long retryDeadline(PendingJob job, int number) {
         Attempt first = job == null ? null : job.firstThatMayHaveRun();
-        boolean bound = first != null && first.number < number && job.jobClass.idempotency() == Idempotency.KEYED;
-        return bound ? windowEnd(first) : Long.MAX_VALUE;
+        boolean restricted = first != null && first.number < number && job.jobClass.idempotency() == Idempotency.KEYED;
+        return restricted ? windowEnd(first) : Long.MAX_VALUE;
     }
 
     private static long windowEnd(Attempt first) {
