--- a/src/main/java/beechseam/dispatch/ClassRunTimes.java
+++ b/src/main/java/beechseam/dispatch/ClassRunTimes.java
@@ -1,34 +1,39 @@
 package beechseam.dispatch;
 
 /**
- * Run times of a class of jobs, by which the run time of the next is expected. Hints of clients are weighed by the
- * regression of run times on them, both as logarithms: hints that have told nothing so far count for nothing.
+ * Statistics of the run times of a class of jobs, which predict the run time of the next one. Clients' hints of run
+ * times are weighted by the slope of the regression of run times on hints, both as logarithms, so that hints without
+ * predictive value are ignored.
  */
 final class ClassRunTimes {
-    /** Runs after which the scale of run times and indices is held: else the two drift apart. */
-    static final int MANY_RUNS = 5000;
-    /** Runs for which a hint counts as it stands, before the regression outweighs that. */
+    /** Runs after which the scale of run times is stabilized: else class means and worker indices drift apart. */
+    static final int CALIBRATION_RUNS = 5000;
+    /** Hints after which the regression outweighs the initial assumption that run times are proportional to hints. */
     private static final double HINT_PRIOR_RUNS = 10;
-    /** Weight of one run or hint once there are many. */
+    /** Least weight of one run or hint in the means. */
     private static final double GAIN = 0.01;
-    /** Until {@link #MANY_RUNS} the mean logarithm moves as far as a run takes it. */
+    /** Limit on the change by one run before {@link #CALIBRATION_RUNS}; too high to take effect. */
     private static final double UNLIMITED_CHANGE = 1e3;
 
     final JobClass jobClass;
     private final boolean weightByWork;
-    /** The mean logarithm of run times and their mean, in nanoseconds, and of how many runs. */
+    /** Mean logarithm of run times in nanoseconds. */
     double meanLogRun;
-
+    /** Mean run time, in nanoseconds. */
     double meanRunNs;
+    /** Number of runs in the means. */
     double runs;
+
     double meanRequiredSlots = 1;
-    /** The most time that a client has given, in nanoseconds. */
+    /** Longest budget that a client has given a job, in nanoseconds. */
     double longestBudgetNs;
-    /** The mean logarithm of hints, how it varies and varies with run times, and of how many hints. */
+    /** Mean logarithm of hints in nanoseconds. */
     private double meanLogHint;
-
+    /** Variance of the logarithm of hints. */
     private double hintVariance;
+    /** Covariance of the logarithms of hints and run times. */
     private double hintCovariance;
+    /** Number of hints in the statistics. */
     private double hints;
 
     ClassRunTimes(JobClass jobClass, boolean weightByWork) {
@@ -38,7 +43,7 @@
         meanLogRun = Math.log(meanRunNs);
     }
 
-    /** Logarithm of the expected run time in nanoseconds; a hint counts for as much as hints have told so far. */
+    /** Logarithm of the expected run time in nanoseconds; a hint is weighted by how well earlier ones predicted. */
     double expectedLog(Job job) {
         if (job.workNs() <= 0) {
             return meanLogRun;
@@ -49,27 +54,27 @@
         return hints == 0 ? logHint : meanLogRun + Math.max(0, Math.min(1, hintWeight)) * (logHint - meanLogHint);
     }
 
-    /** Priority weight of a unit of work: the order in which classes are served from the queue. */
+    /** Priority weight per unit of work; the queue serves classes in descending order of it. */
     double weightPerWork() {
         return weightByWork ? jobClass.priorityWeight() : jobClass.priorityWeight() / (meanRunNs * meanRequiredSlots);
     }
 
-    /** What being late loses of the weight, inverted: where it loses less, queues may be longer. */
+    /** Inverse of the share of its weight that a late job loses; classes that lose less tolerate longer queues. */
     double waitTolerance() {
         return 1 / Math.max(0.1, 1 - jobClass.lateWeight());
     }
 
-    /** How long a usual job may wait, in nanoseconds. */
+    /** How long a job of typical run time may wait and still meet its latency objective, in nanoseconds. */
     double usualSlackNs() {
         return jobClass.latencyObjectiveNs() + Math.max(0, jobClass.stretch() - 1) * Math.exp(meanLogRun);
     }
 
-    /** A job has arrived whose client gives it so much time. */
+    /** Records the budget of a job that has arrived, in nanoseconds. */
     void recordBudget(long budgetNs) {
         longestBudgetNs = Math.max(longestBudgetNs, budgetNs);
     }
 
-    /** A run has ended; {@code logRun} is the logarithm of {@code runNs}, its time at mean speed. */
+    /** Records a run that has ended; {@code logRun} is the logarithm of {@code runNs}, its run time at mean speed. */
     void recordRun(Job job, double logRun, double runNs) {
         double gain = Math.max(GAIN, 1 / (runs + 1));
         if (job.workNs() > 0) {
@@ -80,7 +85,8 @@
             hintVariance += (deviation * (logHint - meanLogHint) - hintVariance) * hintGain;
             hintCovariance += (deviation * (logRun - meanLogRun) - hintCovariance) * hintGain;
         }
-        double maxChange = runs > MANY_RUNS ? PerformanceIndex.MAX_CHANGE : UNLIMITED_CHANGE; // as indices are
+        // After calibration the limit is that of the performance indices, so that both adapt alike.
+        double maxChange = runs > CALIBRATION_RUNS ? PerformanceIndex.MAX_CHANGE : UNLIMITED_CHANGE;
         meanLogRun += Math.max(-maxChange, Math.min(maxChange, logRun - meanLogRun)) * gain;
         meanRunNs += (runNs - meanRunNs) * gain;
         runs++;
--- a/src/main/java/beechseam/dispatch/DiscoveryWatch.java
+++ b/src/main/java/beechseam/dispatch/DiscoveryWatch.java
@@ -1,10 +1,10 @@
 package beechseam.dispatch;
 
-/** Asks for the endpoint list again after a failure, at intervals that double up to a limit of the rules. */
+/** Retries a failed watch of the endpoint list with exponential backoff, up to a limit set by the rules. */
 final class DiscoveryWatch {
-    /** Tag of the timer after which the list is asked for again. */
+    /** Tag of the timer of a retry. */
     static final long TIMER = 2;
-    /** The longest interval is this part of the longest that polls of discovery may be apart. */
+    /** The longest backoff is the limit on the poll interval of discovery, divided by this. */
     private static final int RETRIES_PER_LIMIT = 4;
 
     private final DispatchContext context;
@@ -18,7 +18,7 @@
         backoffNs = context.shortestObjectiveNs;
     }
 
-    /** Whether the latest call to discovery failed and was not repeated yet. */
+    /** Whether the latest call to discovery failed and has not been retried yet. */
     boolean hasFailed() {
         return failed;
     }
@@ -34,7 +34,7 @@
         backoffNs = context.shortestObjectiveNs;
     }
 
-    /** The timer of {@link #recordFailure} is due; an update may have come in meanwhile. */
+    /** Handles the timer of {@link #recordFailure}; does nothing if an update has arrived in the meantime. */
     void retry() {
         if (failed) {
             failed = false;
--- a/src/main/java/beechseam/dispatch/EndpointState.java
+++ b/src/main/java/beechseam/dispatch/EndpointState.java
@@ -1,11 +1,11 @@
 package beechseam.dispatch;
 
-/** What discovery says of a worker. */
+/** State of a worker in the endpoint list. */
 public enum EndpointState {
-    /** It takes work. */
+    /** The worker accepts jobs. */
     READY,
-    /** It takes no new work and finishes what it has. */
+    /** The worker accepts no new jobs and finishes those it has. */
     DRAINING,
-    /** It is not listed any more. */
+    /** The worker is no longer listed. */
     REMOVED
 }
--- a/src/main/java/beechseam/dispatch/EndpointUpdate.java
+++ b/src/main/java/beechseam/dispatch/EndpointUpdate.java
@@ -1,13 +1,13 @@
 package beechseam.dispatch;
 
-/** What an update of the endpoint list holds. */
+/** Kind of an update of the endpoint list. */
 public enum EndpointUpdate {
     /** Only the entries that changed. */
     DELTA,
-    /** All entries; whatever is not named is removed. */
+    /** All entries; a worker without an entry is removed. */
     SNAPSHOT,
-    /** All entries as held before a restart, which may be stale. */
+    /** All entries as known before a restart, which may be stale. */
     CACHED,
-    /** Nothing: the call to discovery failed. */
+    /** No entries, because the call to discovery failed. */
     FAILED
 }
--- a/src/main/java/beechseam/dispatch/FleetModel.java
+++ b/src/main/java/beechseam/dispatch/FleetModel.java
@@ -3,15 +3,15 @@
 import java.util.Random;
 
 /**
- * What a dispatcher knows and estimates of the workers, part by part; the policies read it.
+ * State and estimates of the workers that a dispatcher's policies read, one component for each aspect.
  *
  * @param context      settings and the time of the event being handled
  * @param runTimes     expected run times and speeds
- * @param slowStart    capacity and budget of workers that are warming up
- * @param loads        raw load of each worker now
+ * @param slowStart    capacity and send budget of workers that are warming up
+ * @param loads        estimated raw load of each worker
  * @param outliers     suspicion of each worker
- * @param table        the workers themselves
- * @param transferCost what sending a job to a worker costs besides load
+ * @param table        the listed workers
+ * @param transferCost costs of sending a job to a worker other than load
  */
 record FleetModel(
         DispatchContext context,
@@ -21,7 +21,7 @@
         OutlierDetector outliers,
         WorkerTable table,
         TransferCost transferCost) {
-    /** A model of no workers; {@code random} orders workers that were never used. */
+    /** Creates a model without workers; {@code random} sets the order of workers that have not been used yet. */
     static FleetModel create(DispatchContext context, Random random) {
         RunTimeModel runTimes = new RunTimeModel(context);
         SlowStart slowStart = new SlowStart(context, runTimes);
--- a/src/main/java/beechseam/dispatch/LearnedState.java
+++ b/src/main/java/beechseam/dispatch/LearnedState.java
@@ -7,22 +7,23 @@
 import java.util.Map;
 
 /**
- * What a dispatcher has learned, for the dispatcher of the next process, which may be of another version. It travels as
- * rows of figures by name; the typed accessors are the codec. A row that is absent, or of another length than this
- * version writes, reads as null, and the reader keeps what it has. Names and order of figures must not change.
+ * State that a dispatcher has learned, for the dispatcher of the successor process, which may run another version. It
+ * is transferred as named rows of numbers, which the typed accessors encode and decode. An accessor returns null for a
+ * row that is absent or has another length than this version writes, and the importer then keeps its own values. The
+ * names of rows and the order of their numbers must not change.
  *
- * @param entries rows of figures by name, as they are handed from process to process
+ * @param entries rows of numbers by name, as transferred between processes
  */
 public record LearnedState(Map<String, double[]> entries) {
-    /** Name of the row of all workers and classes together. */
+    /** Name of the row for all workers and classes together. */
     static final String FLEET = "";
-    /** How the name of a class's row begins; the name of the class follows. */
+    /** Prefix of the name of a job class's row, before the name of the class. */
     static final String CLASS_PREFIX = "class ";
-    /** How the name of the row of a kind of worker begins; the name of the kind follows. */
+    /** Prefix of the name of a worker kind's row, before the name of the kind. */
     static final String KIND_PREFIX = "kind ";
-    /** How the name of a worker's row begins; its number follows. */
+    /** Prefix of the name of a worker's row, before its id. */
     static final String WORKER_PREFIX = "worker ";
-    /** How the name of a row of what a worker was sent while it warmed up begins; its number follows. */
+    /** Prefix of the name of the row of sends to a worker that was warming up, before the worker's id. */
     static final String WARMING_PREFIX = "cold ";
 
     private static final int FLEET_LENGTH = 6;
@@ -30,7 +31,7 @@
     private static final int KIND_LENGTH = 2;
     private static final int WORKER_LENGTH = 6;
 
-    /** See {@link RunTimeModel}, {@link LoadEstimator} and {@link OutlierDetector}. */
+    /** Values for the whole fleet; see {@link RunTimeModel}, {@link LoadEstimator} and {@link OutlierDetector}. */
     record Fleet(
             double meanRunNs,
             double runs,
@@ -39,14 +40,17 @@
             double startLagNs,
             boolean everReported) {}
 
-    /** See {@link ClassRunTimes}. */
+    /** Values of a class of jobs; see {@link ClassRunTimes}. */
     record ClassEntry(
             double meanLogRun, double meanRunNs, double runs, double meanRequiredSlots, double longestBudgetNs) {}
 
-    /** See {@link PerformanceIndex}. */
+    /** Values of a kind of worker; see {@link PerformanceIndex}. */
     record KindEntry(double meanLog, double runs) {}
 
-    /** See {@link WorkerState}; to another dispatcher what the writer has in flight is load of others. */
+    /**
+     * Values of a worker; see {@link WorkerState}. {@code estimatedElsewhere} includes what the exporting dispatcher
+     * itself has in flight, which is load of another dispatcher to the importing one.
+     */
     record WorkerEntry(
             double meanLog,
             double runs,
@@ -55,7 +59,7 @@
             double estimatedElsewhere,
             double suspicion) {}
 
-    /** A state with no rows, to be filled. */
+    /** A mutable state without rows. */
     static LearnedState empty() {
         return new LearnedState(new LinkedHashMap<>());
     }
@@ -71,7 +75,7 @@
         });
     }
 
-    /** The row of the fleet, or null. */
+    /** The values for the whole fleet, or null. */
     Fleet fleet() {
         double[] row = row(FLEET, FLEET_LENGTH);
         return row == null ? null : new Fleet(row[0], row[1], row[2], row[3], row[4], row[5] > 0);
@@ -83,7 +87,7 @@
         });
     }
 
-    /** The row of a class of jobs, or null. */
+    /** The values of a class of jobs, or null. */
     ClassEntry jobClass(String name) {
         double[] row = row(CLASS_PREFIX + name, CLASS_LENGTH);
         return row == null ? null : new ClassEntry(row[0], row[1], row[2], row[3], row[4]);
@@ -93,7 +97,7 @@
         entries.put(KIND_PREFIX + name, new double[] {entry.meanLog, entry.runs});
     }
 
-    /** The row of a kind of worker, or null. */
+    /** The values of a kind of worker, or null. */
     KindEntry kind(String name) {
         double[] row = row(KIND_PREFIX + name, KIND_LENGTH);
         return row == null ? null : new KindEntry(row[0], row[1]);
@@ -105,24 +109,27 @@
         });
     }
 
-    /** The row of a worker, or null. */
+    /** The values of a worker, or null. */
     WorkerEntry worker(long id) {
         double[] row = row(WORKER_PREFIX + id, WORKER_LENGTH);
         return row == null ? null : new WorkerEntry(row[0], row[1], row[2], row[3], row[4], row[5]);
     }
 
-    /** Each send travels as its age and its work in nanoseconds: the clocks of two processes may differ. */
+    /** Encodes each send as its age and its work in nanoseconds, because the clocks of two processes may differ. */
     void putSentWhileWarming(long id, long now, Collection<TimedWork> sent) {
         double[] row = new double[2 * sent.size()];
-        int place = 0;
+        int index = 0;
         for (TimedWork work : sent) {
-            row[place++] = now - work.sentAtNs();
-            row[place++] = work.workNs();
+            row[index++] = now - work.sentAtNs();
+            row[index++] = work.workNs();
         }
         entries.put(WARMING_PREFIX + id, row);
     }
 
-    /** What a worker was sent while it warmed up, dated by the clock that shows {@code now}; empty when not known. */
+    /**
+     * Sends to the worker while it was warming up, with times converted to the clock that shows {@code now}; empty if
+     * there is no such row.
+     */
     List<TimedWork> sentWhileWarming(long id, long now) {
         List<TimedWork> sent = new ArrayList<>();
         double[] row = entries.get(WARMING_PREFIX + id);
--- a/src/main/java/beechseam/dispatch/LearnedStateTransfer.java
+++ b/src/main/java/beechseam/dispatch/LearnedStateTransfer.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Reads what the parts of a dispatcher have learned into a {@link LearnedState}, and back. */
+/** Exports what the parts of a dispatcher have learned to a {@link LearnedState}, and imports it. */
 final class LearnedStateTransfer {
     private final DispatchContext context;
     private final WorkerTable table;
@@ -20,7 +20,10 @@
         slowStart = fleet.slowStart();
     }
 
-    /** What was learned; with the record of sends to warming workers goes, for a window, the right to send. */
+    /**
+     * Exports the learned state. It includes the record of sends to workers that are warming up, so this dispatcher
+     * does not send to them for one overload window afterwards.
+     */
     LearnedState exportState() {
         slowStart.releaseSends();
         LearnedState state = LearnedState.empty();
@@ -61,7 +64,7 @@
         state.putSentWhileWarming(id, context.now, worker.sentWhileWarming);
     }
 
-    /** Takes over what another dispatcher has learned; what that lacks, or has otherwise, stays as it is. */
+    /** Imports what another dispatcher has learned; entries that are absent or of another length change nothing. */
     void importState(LearnedState state) {
         LearnedState.Fleet fleet = state.fleet();
         if (fleet != null) {
--- a/src/main/java/beechseam/dispatch/LoadEstimator.java
+++ b/src/main/java/beechseam/dispatch/LoadEstimator.java
@@ -1,30 +1,33 @@
 package beechseam.dispatch;
 
 /**
- * Raw load of each worker now, in slots: this dispatcher's own attempts, which it knows, and those of all others,
- * which reports tell late. A report is dated half a report interval back and this dispatcher's own part as of then is
- * taken off; with its age the rest fades towards the mean that others have anywhere. O(1) a worker.
+ * Estimates the raw load of each worker, in slots, in O(1) per worker. Raw load is the sum of this dispatcher's
+ * attempts in flight, which are known exactly, and those of all other dispatchers, which are estimated from load
+ * reports. A report is assumed to be half a report interval old on arrival, and what this dispatcher had in flight at
+ * that time is subtracted from it. As the report ages, the remainder decays towards the mean load from other
+ * dispatchers.
  */
 final class LoadEstimator {
-    /** Of what this dispatcher has sent a worker since its report, each other is taken to have sent this. */
+    /** Each other dispatcher is assumed to have sent a worker this share of what this one sent since its report. */
     private static final double HERDING_CORRECTION = 0.7;
-    /** A report of so many mean runs ago tells nothing any more: it counts by e to the minus that. */
+    /** Age in mean runs past which a report is ignored, as its weight, e^-age, is then negligible. */
     private static final double MAX_REPORT_AGE_RUNS = 30;
-    /** Weight of one report in the mean interval of reports, and in the mean load of others. */
+    /** Weight of one report in the mean report interval. */
     private static final double INTERVAL_GAIN = 0.05;
-
+    /** Weight of one report in the mean utilization by other dispatchers. */
     private static final double MEAN_LOAD_GAIN = 0.02;
+    /** Slots assumed of each worker until one reports its own. */
     private static final double DEFAULT_SLOTS = 2;
 
     private final DispatchContext context;
     private final RunTimeModel runTimes;
-    /** Whether any report or live weight has come in; until then all dispatchers are taken to send alike. */
+    /** Whether any load report or live weight has arrived; until then all dispatchers are assumed to send alike. */
     boolean everReported;
-    /** Mean share of a worker's slots that others have in use. */
+    /** Mean share of a worker's slots that other dispatchers have in use. */
     double meanUtilizationElsewhere;
-
+    /** Mean time between changes of a worker's report, in nanoseconds. */
     double reportIntervalNs;
-    /** Slots of the worker that reported last: what is assumed of a kind that has not reported. */
+    /** Slots of the worker that reported last, assumed for kinds of which no worker has reported. */
     double assumedSlots = DEFAULT_SLOTS;
 
     LoadEstimator(DispatchContext context, RunTimeModel runTimes) {
@@ -33,7 +36,7 @@
         reportIntervalNs = context.shortestObjectiveNs;
     }
 
-    /** Raw load now, own and others'; what others were seen to have fades towards their mean as jobs end. */
+    /** The worker's estimated raw load now, in slots, from this and all other dispatchers. */
     double rawLoad(WorkerState worker) {
         if (!everReported) {
             return worker.inFlightHere * context.settings.dispatcherCount();
@@ -41,18 +44,20 @@
         double mean = meanUtilizationElsewhere * worker.slots;
         double age = (context.now - worker.reportedAt + reportIntervalNs / 2) / runTimes.meanRunNs;
         if (age > MAX_REPORT_AGE_RUNS) {
-            return worker.inFlightHere + mean; // as it is for most of very many workers
+            return worker.inFlightHere + mean; // the usual case in a large fleet: most reports are old
         }
-        // Others see what we see and choose alike: what we have added since the report, they have in part.
+        // Other dispatchers see the same reports and choose alike, so each is assumed to have added a share of what
+        // this one has added since the report.
         double herding = HERDING_CORRECTION
                 * Math.min(DispatchContext.MOST_VISIBLE_DISPATCHERS, context.settings.dispatcherCount() - 1)
                 * Math.max(0, worker.inFlightHere - worker.inFlightHereAtReport);
-        // By the age of what it tells: a report that was late already must not draw a crowd.
-        double fade = Math.exp(-age);
-        return worker.inFlightHere + mean + (worker.estimatedElsewhere + herding - mean) * fade;
+        // The age includes the delay of the report on arrival; otherwise a delayed report of a low load would make all
+        // dispatchers choose that worker at once.
+        double decay = Math.exp(-age);
+        return worker.inFlightHere + mean + (worker.estimatedElsewhere + herding - mean) * decay;
     }
 
-    /** A report replaces what was estimated of others' load; {@code report} may be null. */
+    /** Replaces the estimate of other dispatchers' load by a report; does nothing if {@code report} is null. */
     void applyLoadReport(WorkerState worker, LoadReport report) {
         if (report == null) {
             return;
@@ -72,7 +77,8 @@
         double unknown = Double.MAX_VALUE;
         double availableSlots = Math.min(orElse(report.freeSlots(), unknown), orElse(report.freeMemory(), unknown));
         if (!Double.isNaN(report.freeSlots())) {
-            // Free and taken slots add up to all except for noise: their mean tells, the highest sum does not.
+            // Free plus used slots equal the worker's slots except for noise, so their mean is used and not their
+            // maximum.
             worker.meanReportedSlots +=
                     (report.freeSlots() + Math.max(0, running) - worker.meanReportedSlots) / ++worker.reports;
             adoptSlots(worker, worker.meanReportedSlots);
@@ -86,7 +92,7 @@
         applyRawLoad(worker, inUse + queued * runTimes.meanRequiredSlots);
     }
 
-    /** The worker has so many slots, on the mean of its reports. */
+    /** Sets the slots of the worker, and the slots assumed of workers that have not reported, from this mean. */
     void adoptSlots(WorkerState worker, double meanReportedSlots) {
         worker.slots = Math.max(1, Math.rint(meanReportedSlots));
         worker.slotsKnown = true;
@@ -94,26 +100,29 @@
         assumedSlots = worker.slots;
     }
 
-    /** A live weight is its size, the most that one of its kind had, over 1 + what it holds for each slot. */
+    /**
+     * Derives the worker's raw load from its live weight, which is its size divided by 1 plus its load per slot. The
+     * largest weight seen of a worker of its kind is taken as its size.
+     */
     void applyLiveWeight(WorkerState worker, double weight) {
         worker.kind.largestWeight = Math.max(worker.kind.largestWeight, weight);
         applyRawLoad(worker, worker.slots * (worker.kind.largestWeight / weight - 1));
         everReported = true;
     }
 
-    /** The worker held so much in all, half a report interval ago. */
+    /** Applies a raw load, in slots, that the worker had half a report interval ago. */
     private void applyRawLoad(WorkerState worker, double rawLoad) {
         worker.reportedAt = context.now;
-        double inFlightThen = worker.inFlightHere;
+        double inFlightAtReport = worker.inFlightHere;
         double reportDate = context.now - reportIntervalNs / 2;
         for (LoadChange change : worker.recentChanges) {
-            inFlightThen -= change.atNs() > reportDate ? change.slots() : 0;
+            inFlightAtReport -= change.atNs() > reportDate ? change.slots() : 0;
         }
-        // The paper's dampening d is 0: reports are late, not jumpy.
-        worker.estimatedElsewhere = Math.max(0, rawLoad - inFlightThen);
-        worker.inFlightHereAtReport = inFlightThen;
-        // Full is as much as one report may say of all the others: a long queue at one worker, reported again and
-        // again, has stopped a dispatcher that then sent nothing and so got no better report.
+        // No smoothing (the dampening d of eLL, see WorkerSelector, is 0): reports are delayed, but not noisy.
+        worker.estimatedElsewhere = Math.max(0, rawLoad - inFlightAtReport);
+        worker.inFlightHereAtReport = inFlightAtReport;
+        // One report counts as full utilization at most. Without this limit, repeated reports of a long queue at one
+        // worker raised the mean until the dispatcher sent nothing, and so received no newer reports.
         meanUtilizationElsewhere +=
                 MEAN_LOAD_GAIN * (Math.min(1, worker.estimatedElsewhere / worker.slots) - meanUtilizationElsewhere);
     }
@@ -122,31 +131,37 @@
         return Double.isNaN(value) ? otherwise : value;
     }
 
-    /** Others hold between so many slots there: as of now, and not as an earlier report would have it. */
-    void clampEstimate(WorkerState worker, double least, double most) {
+    /**
+     * Limits the estimate of other dispatchers' load at the worker to a range, in slots. A changed estimate is dated
+     * now, so that it does not decay by the age of the earlier report.
+     */
+    void clampEstimate(WorkerState worker, double min, double max) {
         double elsewhere = rawLoad(worker) - worker.inFlightHere;
-        if (elsewhere < least || elsewhere > most) {
-            worker.estimatedElsewhere = Math.max(least, Math.min(most, elsewhere));
+        if (elsewhere < min || elsewhere > max) {
+            worker.estimatedElsewhere = Math.max(min, Math.min(max, elsewhere));
             worker.inFlightHereAtReport = worker.inFlightHere;
             worker.reportedAt = context.now + (long) (reportIntervalNs / 2);
         }
     }
 
-    /** The attempt has begun: others hold what own runs leave free, and what came in behind it while it waited. */
+    /**
+     * Lowers the estimate when an attempt has started: other dispatchers have at most the slots that this one's running
+     * jobs leave free, plus the jobs that are expected to have queued behind the attempt while it waited.
+     */
     void recordStart(Attempt attempt) {
         WorkerState worker = attempt.worker;
-        double behind = meanUtilizationElsewhere
+        double queuedBehind = meanUtilizationElsewhere
                 * worker.slots
                 * Math.min(1, (context.now - attempt.sentAt) / runTimes.meanRunNs);
-        clampEstimate(worker, 0, slotsAvailableToOthers(worker) + behind);
+        clampEstimate(worker, 0, slotsAvailableToOthers(worker) + queuedBehind);
     }
 
-    /** The worker turned an attempt away: its queue is full whatever was estimated. */
+    /** Raises the estimate after a rejection: the worker's slots are taken and at least one mean job is queued. */
     void recordRejection(WorkerState worker) {
         worker.estimatedElsewhere = Math.max(worker.estimatedElsewhere, worker.slots + runTimes.meanRequiredSlots);
     }
 
-    /** Slots of a worker that this dispatcher's running jobs leave to others. */
+    /** Slots of the worker that are not used by running jobs of this dispatcher. */
     double slotsAvailableToOthers(WorkerState worker) {
         double available = worker.slots;
         for (Attempt attempt : worker.inFlight) {
@@ -155,7 +170,7 @@
         return Math.max(0, available);
     }
 
-    /** An own attempt was sent (positive slots) or has ended (negative). */
+    /** Records that this dispatcher has sent an attempt (positive slots) or that one has ended (negative slots). */
     void recordInFlight(WorkerState worker, double slots) {
         worker.inFlightHere = Math.max(0, worker.inFlightHere + slots);
         worker.recentChanges.addLast(new LoadChange(context.now, slots));
@@ -165,7 +180,7 @@
         }
     }
 
-    /** How long ago the worker was last heard of, in nanoseconds. */
+    /** Age of the latest information about the worker's load, in nanoseconds. */
     long reportAge(WorkerState worker) {
         return context.now - worker.reportedAt;
     }
--- a/src/main/java/beechseam/dispatch/LoadReportSource.java
+++ b/src/main/java/beechseam/dispatch/LoadReportSource.java
@@ -1,11 +1,11 @@
 package beechseam.dispatch;
 
-/** Where load reports come from. */
+/** Source of workers' load reports. */
 public enum LoadReportSource {
-    /** Workers send them with their answers. */
+    /** Workers send load reports with their answers. */
     ANSWERS,
-    /** Workers send them in answer to health checks. */
+    /** Workers send load reports in answer to health checks. */
     HEALTH_CHECKS,
-    /** There are none. */
+    /** Workers send no load reports. */
     NONE
 }
--- a/src/main/java/beechseam/dispatch/OutlierDetector.java
+++ b/src/main/java/beechseam/dispatch/OutlierDetector.java
@@ -1,31 +1,32 @@
 package beechseam.dispatch;
 
 /**
- * Outlier detection: failures, slow progress and silence raise a worker's suspicion, a factor on its load from 1 up to
- * a maximum; it decays by itself, and each sign of health halves it. A suspected worker gets fewer jobs and no hedges,
- * yet is not removed: where all are suspected the least suspected still serve.
+ * Outlier detection. Failures, slowed progress and overdue reports raise a worker's suspicion, a factor from 1 to a
+ * maximum on its effective load. Suspicion decays over time, and each success halves its excess over 1. A suspected
+ * worker gets fewer jobs and no hedges but is not removed: when all workers are suspected, the least suspected ones
+ * still run jobs.
  */
 final class OutlierDetector {
     private static final double MAX_SUSPICION = 16;
-    /** Suspicion decays by e in this time. */
+    /** Time constant of the decay: the excess of suspicion over 1 falls by a factor of e in this time. */
     private static final double DECAY_NS = 4e9;
-    /** Suspicion above which a worker counts as ejected, and above which an answered health check halves it. */
+    /** Suspicion above which a worker counts as ejected. */
     private static final double EJECTED_SUSPICION = 2;
-
+    /** Suspicion above which an answered health check counts as a success. */
     private static final double HIGH_SUSPICION = 4;
-    /** By what a failure, or a rejection or failed health check, multiplies suspicion. */
+    /** Factor by which a failure raises suspicion. */
     private static final double FAILURE_FACTOR = 2;
-
-    private static final double MILD_FACTOR = 1.5;
-    /** A run that has been so much faster than it is now is slow. */
-    private static final double SLOWDOWN = 1.3;
-
+    /** Factor by which a rejection or an unanswered health check raises suspicion. */
+    private static final double MINOR_FAILURE_FACTOR = 1.5;
+    /** A run counts as slowed down when its best progress rate exceeds its current one by more than this factor. */
+    private static final double SLOWDOWN_FACTOR = 1.3;
+    /** Weight of one start in the mean start lag. */
     private static final double START_LAG_GAIN = 0.05;
 
     private final DispatchContext context;
     private final RunTimeModel runTimes;
     private final LoadEstimator loads;
-    /** Mean time from a send to a worker with free slots until the report that the job has begun, in nanoseconds. */
+    /** Mean time from sending a job to a worker with free slots until its start is reported, in nanoseconds. */
     double startLagNs = DispatchContext.MIN_TICK_NS;
 
     OutlierDetector(DispatchContext context, RunTimeModel runTimes, LoadEstimator loads) {
@@ -34,20 +35,20 @@
         this.loads = loads;
     }
 
-    /** The worker's suspicion now, 1 for none. */
+    /** The worker's current suspicion; 1 means none. */
     double suspicion(WorkerState worker) {
         return worker.suspicion <= 1
                 ? 1
                 : 1 + (worker.suspicion - 1) * Math.exp((worker.suspectedAt - context.now) / DECAY_NS);
     }
 
-    /** Raises suspicion to this, or leaves it where it is higher. */
+    /** Raises the worker's suspicion to the given value, limited to the maximum; never lowers it. */
     void suspect(WorkerState worker, double suspicion) {
         worker.suspicion = Math.max(suspicion(worker), Math.min(MAX_SUSPICION, suspicion));
         worker.suspectedAt = context.now;
     }
 
-    /** A sign of health halves suspicion. */
+    /** Halves the excess of the worker's suspicion over 1. */
     void recordSuccess(WorkerState worker) {
         worker.suspicion = 1 + (suspicion(worker) - 1) / 2;
         worker.suspectedAt = context.now;
@@ -58,29 +59,32 @@
     }
 
     void recordRejection(WorkerState worker) {
-        suspect(worker, suspicion(worker) * MILD_FACTOR);
+        suspect(worker, suspicion(worker) * MINOR_FAILURE_FACTOR);
     }
 
-    /** So suspected no job goes there to show that a silence has ended: an answered health check does. */
+    /**
+     * Raises suspicion after an unanswered health check. An answered one counts as a success only while suspicion is
+     * high: such a worker gets no jobs, so a health check is the only sign that it responds again.
+     */
     void recordHealthCheck(WorkerState worker, boolean answered) {
         if (!answered) {
-            suspect(worker, suspicion(worker) * MILD_FACTOR);
+            suspect(worker, suspicion(worker) * MINOR_FAILURE_FACTOR);
         } else if (suspicion(worker) > HIGH_SUSPICION) {
             recordSuccess(worker);
         }
     }
 
-    /** Whether the worker is ready, yet as a rule passed over for its suspicion. */
+    /** Whether the worker is ready but normally not selected because of its suspicion. */
     boolean isEjected(WorkerState worker) {
         return worker.isReady() && isHighlySuspected(worker);
     }
 
-    /** Whether suspicion alone would eject the worker, ready or not. */
+    /** Whether the worker's suspicion is above the ejection threshold, regardless of its endpoint state. */
     boolean isHighlySuspected(WorkerState worker) {
         return suspicion(worker) > EJECTED_SUSPICION;
     }
 
-    /** A worker with free slots reported a start: how late is what silence of others is measured by. */
+    /** Updates the mean start lag, by which overdue starts are detected, if the worker had free slots at the send. */
     void recordStart(Attempt attempt) {
         if (attempt.foundSlotsAvailable) {
             double lag = Math.min(context.now - attempt.sentAt, context.shortestObjectiveNs);
@@ -88,12 +92,16 @@
         }
     }
 
-    /** A run has come so far: one that was faster before is slow now. */
+    /**
+     * Records the reported progress of a run. A run that has slowed down raises its worker's suspicion to the ratio of
+     * its best progress rate to the current one; any other positive progress counts as a
+     * success.
+     */
     void recordProgress(Attempt attempt, double progress) {
         double rate = (progress - attempt.progress) / (context.now - attempt.lastProgressAt);
         attempt.progress = progress;
         attempt.lastProgressAt = context.now;
-        if (rate > 0 && attempt.bestProgressRate > SLOWDOWN * rate) {
+        if (rate > 0 && attempt.bestProgressRate > SLOWDOWN_FACTOR * rate) {
             suspect(attempt.worker, attempt.bestProgressRate / rate);
         } else if (rate > 0) {
             recordSuccess(attempt.worker);
@@ -102,8 +110,10 @@
     }
 
     /**
-     * A job that has not begun when a free worker would have reported it waits behind others': that is load, not a
-     * fault. Silence past the time in which what they hold is worked off is one, and so is silence of a run.
+     * Checks an attempt for overdue reports. If the start is later than a worker with free slots would report it, the
+     * job waits behind jobs of other dispatchers: this raises the estimate of their load, not suspicion. Suspicion
+     * rises when the start is still missing after the time that the worker needs for the jobs of the others, or when a
+     * running attempt reports no progress for longer than the progress interval.
      */
     void detectStall(Attempt attempt) {
         if (attempt.ended || !context.settings.reportsStart()) {
--- a/src/main/java/beechseam/dispatch/PerformanceIndex.java
+++ b/src/main/java/beechseam/dispatch/PerformanceIndex.java
@@ -2,21 +2,22 @@
 
 /**
  * The performance index (PI) of a worker or of a kind of worker: the mean logarithm of run time over expected run
- * time. Logarithms, because run times are heavy-tailed and their ratios, not their differences, are alike.
+ * time. Logarithms are used because run times are heavy-tailed and workers differ by a ratio of run times, not by a
+ * difference.
  */
 final class PerformanceIndex {
-    /** Weight of one run once there are many; its inverse is how many runs are remembered. */
+    /** Least weight of one run; its inverse is the number of runs that the index remembers. */
     private static final double GAIN = 0.08;
-    /** A single run moves the index by no more than this: a heavy tail is not a slow worker. */
+    /** Limit on the deviation of a single run, because one very long run does not make a slow worker. */
     static final double MAX_CHANGE = 1.5;
 
-    /** The mean logarithm, and of how many runs. */
+    /** Mean logarithm of run time over expected run time. */
     double meanLog;
-
+    /** Number of runs in the mean. */
     double runs;
-    /** The most weight that discovery gave one of a kind, and the slots that one has; 0 while not known. */
+    /** For a kind: the largest weight that discovery has listed for one of its workers; 0 while unknown. */
     double largestWeight;
-
+    /** For a kind: the slots of one of its workers; 0 while unknown. */
     double slots;
 
     void set(double newMeanLog, double newRuns) {
--- a/src/main/java/beechseam/dispatch/SlowStart.java
+++ b/src/main/java/beechseam/dispatch/SlowStart.java
@@ -1,19 +1,23 @@
 package beechseam.dispatch;
 
 /**
- * Slow start: a worker that has just started can do only part of what it can do when warm, and falls over when it is
- * sent more. Capacity grows linearly from the initial share to 1; until it is warm, what all dispatchers together
- * send within any window stays under a budget that they divide without talking to each other, by turns.
+ * Slow start. A worker that has just started has only a share of its warm capacity and fails when it is sent more. The
+ * share grows linearly from its initial value to 1. Until the worker is warm, the work that all dispatchers together
+ * send it within any overload window stays under a budget. The dispatchers divide the budget without communication: the
+ * right to send rotates among them on a fixed schedule.
  */
 final class SlowStart {
-    /** Part of the budget that is used: speeds and sizes are estimates. */
+    /** Share of the budget that is used, because speeds and job sizes are only estimates. */
     private static final double BUDGET_SAFETY = 0.5;
-    /** A job's work may be this multiple of its estimate when it is booked. */
-    private static final double BOOKING_MARGIN = 1.25;
+    /** Factor on the estimated work of a job that is charged to the budget: a job may take longer than estimated. */
+    private static final double ESTIMATE_MARGIN = 1.25;
 
     private final DispatchContext context;
     private final RunTimeModel runTimes;
-    /** Since when it is known what this dispatcher has sent, in nanoseconds: an earlier process may have sent more. */
+    /**
+     * Time since which all sends with this dispatcher's index are known, in nanoseconds; an earlier process may have
+     * sent others before.
+     */
     private long sendsKnownSince;
 
     SlowStart(DispatchContext context, RunTimeModel runTimes) {
@@ -22,7 +26,7 @@
         sendsKnownSince = context.now;
     }
 
-    /** Share of its warm capacity that a worker has at this time, by the host's clock in nanoseconds. */
+    /** Share of its warm capacity that the worker has at the time {@code at}, by the host's clock in nanoseconds. */
     double slowStartCapacity(WorkerState worker, double at) {
         double initial = context.rules.initialCapacity();
         long durationNs = context.rules.slowStartNs();
@@ -33,19 +37,19 @@
         return Math.max(initial, Math.min(1, initial + (1 - initial) * (at - startedNs) / durationNs));
     }
 
-    /** The same, now. */
+    /** Share of its warm capacity that the worker has now. */
     double slowStartCapacity(WorkerState worker) {
         return slowStartCapacity(worker, context.now);
     }
 
-    /** Whether the budget applies: until a whole window has passed since the worker was warm. */
+    /** Whether the budget applies to the worker: until one overload window after it has become warm. */
     boolean isWarmingUp(WorkerState worker) {
         long startedNs = worker.endpoint.startedNs();
         long age = context.now - startedNs;
         return startedNs > 0 && age < context.rules.slowStartNs() + context.rules.overloadWindowNs();
     }
 
-    /** Whether this dispatcher's part of the worker's budget has room for the job; always, once it is warm. */
+    /** Whether this dispatcher's share of the worker's budget allows the job; always true once the worker is warm. */
     boolean slowStartBudgetAllows(WorkerState worker, PendingJob job) {
         long window = context.rules.overloadWindowNs();
         if (!isWarmingUp(worker)) {
@@ -63,18 +67,18 @@
                 * slowStartCapacity(worker, context.now - window)
                 / worker.performanceIndex
                 * window;
-        // As many as can send it a mean job hold the right, in turns of a window: the sends of one turn have half of
-        // it.
+        // A turn lasts one window and gives as many dispatchers the right to send as the budget allows one mean job
+        // each. Any window can overlap two turns, so where the right rotates, each turn gets half of the budget.
         int dispatchers = Math.max(1, context.settings.dispatcherCount());
-        int holders = (int) Math.max(1, Math.min(dispatchers, budget / 2 / BOOKING_MARGIN / runTimes.meanRunNs));
+        int holders = (int) Math.max(1, Math.min(dispatchers, budget / 2 / ESTIMATE_MARGIN / runTimes.meanRunNs));
         long turn = (context.now - worker.endpoint.startedNs()) / window * holders
                 + worker.endpoint.id()
                 + context.settings.dispatcherIndex();
         return turn % dispatchers < holders
-                && sent + bookedWork(job) <= budget / holders / (holders < dispatchers ? 2 : 1);
+                && sent + chargedWork(job) <= budget / holders / (holders < dispatchers ? 2 : 1);
     }
 
-    /** The job is sent to the worker now: books it where the worker is warming up. */
+    /** Charges a job that is sent now to the worker's budget if the worker is warming up. */
     void recordSend(WorkerState worker, PendingJob job) {
         if (!isWarmingUp(worker)) {
             return;
@@ -83,21 +87,27 @@
                 && worker.sentWhileWarming.peekFirst().sentAtNs() <= context.now - context.rules.overloadWindowNs()) {
             worker.sentWhileWarming.removeFirst();
         }
-        worker.sentWhileWarming.addLast(new TimedWork(context.now, bookedWork(job)));
+        worker.sentWhileWarming.addLast(new TimedWork(context.now, chargedWork(job)));
     }
 
-    /** The record of sends is handed over: from now on others may send, and this one must not for a window. */
+    /**
+     * Hands over the record of sends: from now on another process may send in this dispatcher's place, so this one must
+     * not send to warming workers for one window.
+     */
     void releaseSends() {
         sendsKnownSince = context.now;
     }
 
-    /** Another process has handed over its record of sends: nothing is unknown. */
+    /** Adopts the record of sends of an earlier process, after which no earlier sends are unknown. */
     void adoptSends() {
         sendsKnownSince = context.now - context.rules.overloadWindowNs();
     }
 
-    /** A job of small hint is booked as a mean one: choosing small jobs chooses those whose hints are too low. */
-    private static double bookedWork(PendingJob job) {
-        return BOOKING_MARGIN * job.requiredSlots * Math.max(job.expectedRunNs, job.runTimes.meanRunNs);
+    /**
+     * Work that a job is charged as, in nanoseconds of one slot. A job whose hint is below the mean is charged as a
+     * mean one: selecting jobs with small hints also selects those whose hints are too low.
+     */
+    private static double chargedWork(PendingJob job) {
+        return ESTIMATE_MARGIN * job.requiredSlots * Math.max(job.expectedRunNs, job.runTimes.meanRunNs);
     }
 }
--- a/src/main/java/beechseam/dispatch/WorkerState.java
+++ b/src/main/java/beechseam/dispatch/WorkerState.java
@@ -5,62 +5,67 @@
 import java.util.List;
 
 /**
- * What is known of one listed worker. It only holds: each group of fields is written by the part of the module that
- * the group names. Times are by the host's clock, in nanoseconds; load is counted in slots.
+ * State of one listed worker, without logic of its own: a comment that begins with the name of a class says that this
+ * class writes the field and those after it. Times are by the host's clock, in nanoseconds; load is in slots.
  */
 final class WorkerState {
-    /** {@link WorkerTable}: the entry of discovery, and the index that all workers of its kind share. */
+    /** {@link WorkerTable}: the worker's entry in the endpoint list. */
     WorkerEndpoint endpoint;
-
+    /** Performance index shared by all workers of the same kind. */
     final PerformanceIndex kind;
-    /** The sum of capacities up to and with this worker, in the order of the ready workers. */
+    /** Sum of the capacities of the ready workers up to and including this one. */
     double cumulativeCapacity;
-    /** Number of the latest send in the order of all sends; a negative random number before the first. */
+    /** {@link WorkerSelector}: sequence number of the latest send to this worker; random and not positive before it. */
     long lastUsed;
 
-    /** {@link RunTimeModel}: its own index, and its run time for one slot's work relative to the mean. */
+    /** {@link RunTimeModel}: performance index of this worker alone. */
     final PerformanceIndex speed = new PerformanceIndex();
-
+    /** Run time of one slot's work relative to the mean, from the indices of the worker and its kind. */
     double performanceIndex = 1;
 
-    /** {@link LoadEstimator}: its slots, assumed until it reports them, and their mean over its reports. */
+    /** {@link LoadEstimator}: the worker's slots, an assumption unless {@link #slotsKnown}. */
     double slots;
-
+    /** Whether the worker has reported its slots. */
     boolean slotsKnown;
+    /** Mean of the reported slots, over {@link #reports} reports. */
     double meanReportedSlots;
+
     double reports;
-    /** What this dispatcher has in flight there, now and as of the latest report, and how it changed lately. */
+    /** Load that this dispatcher has in flight at the worker. */
     double inFlightHere;
-
+    /** Load that this dispatcher had in flight at the worker as of the latest report. */
     double inFlightHereAtReport;
+    /** Recent changes of {@link #inFlightHere}, oldest first. */
     final ArrayDeque<LoadChange> recentChanges = new ArrayDeque<>();
-    /** What all others were estimated to have in flight there at {@link #reportedAt}. */
+    /** Estimated load that all other dispatchers had in flight at the worker at {@link #reportedAt}. */
     double estimatedElsewhere;
 
     long reportedAt;
     LoadReport lastReport;
+    /** When a report last differed from the one before it. */
     long reportChangedAt;
 
-    /** {@link OutlierDetector}: suspicion, 1 for none, as of {@link #suspectedAt}. */
+    /** {@link OutlierDetector}: suspicion as of {@link #suspectedAt}; 1 means none. */
     double suspicion = 1;
 
     long suspectedAt;
 
-    /** {@link SlowStart}: what this dispatcher sent it while it warmed up. */
+    /** {@link SlowStart}: work that this dispatcher has sent to the worker while it was warming up, oldest first. */
     final ArrayDeque<TimedWork> sentWhileWarming = new ArrayDeque<>();
 
-    /** {@link TransferCost}: connections that should stand idle, and since when; {@link WorkerSelector} lists it. */
+    /** {@link TransferCost}: estimated number of idle connections to the worker. */
     long idleConnections;
-
+    /** When an attempt last ended and may have left its connection idle. */
     long connectionIdleSince;
+    /** {@link WorkerSelector}: whether the worker is in its list of connected workers. */
     boolean listedAsConnected;
 
-    /** {@link HealthChecker}: the latest check, and whether its answer is outstanding. */
+    /** {@link HealthChecker}: when the latest health check was sent. */
     long healthCheckedAt;
-
+    /** Whether the latest health check is not yet answered. */
     boolean healthCheckPending;
 
-    /** Attempts in flight, in the order of their sends. */
+    /** Attempts of this dispatcher in flight at the worker, in the order in which they were sent. */
     final List<Attempt> inFlight = new ArrayList<>();
 
     WorkerState(WorkerEndpoint endpoint, PerformanceIndex kind) {
--- a/src/main/java/beechseam/dispatch/WorkerTable.java
+++ b/src/main/java/beechseam/dispatch/WorkerTable.java
@@ -8,15 +8,18 @@
 import java.util.Random;
 
 /**
- * The listed workers in the order in which discovery named them first, and views of them that are renewed from time to
- * time, as each walks the whole table: those that are ready, with the running sum of their capacities, and those that
- * are warming up.
+ * The listed workers, in the order in which discovery first listed them, and two views of the ready ones: warm workers
+ * with the running sum of their capacities, and workers that are warming up. The views are refreshed only from time to
+ * time, because a refresh walks the whole table.
  */
 final class WorkerTable {
-    /** A worker of another zone is sampled the less by this, times what crossing costs a job of mean weight. */
+    /**
+     * Factor on the cross-zone cost of a job of mean weight: a worker of another zone is sampled with a probability
+     * that is divided by 1 plus this product.
+     */
     private static final double CROSS_ZONE_SAMPLING = 100;
-    /** The first use of a worker is drawn from so many places: ties among unused workers fall to chance. */
-    private static final int FIRST_USE_PLACES = 1 << 20;
+    /** Range of the random order of unused workers, by which ties among them are broken. */
+    private static final int UNUSED_ORDER_RANGE = 1 << 20;
 
     private final DispatchContext context;
     private final RunTimeModel runTimes;
@@ -47,12 +50,12 @@
         this.random = random;
     }
 
-    /** All workers; one that was removed stays until its attempts have ended. */
+    /** All workers; a removed worker stays in the table until its attempts have ended. */
     Collection<WorkerState> all() {
         return workers.values();
     }
 
-    /** The worker of this number, or null. */
+    /** The worker with this id, or null. */
     WorkerState get(long id) {
         return workers.get(id);
     }
@@ -61,7 +64,7 @@
         return workers.size();
     }
 
-    /** The index of each kind of worker by its name. */
+    /** The performance index of each kind of worker, by the name of the kind. */
     Map<String, PerformanceIndex> kinds() {
         return kinds;
     }
@@ -76,7 +79,7 @@
         return warmingWorkers;
     }
 
-    /** The index of the fastest ready worker: the scale of speed factors. */
+    /** The lowest performance index of a ready worker, to which speed factors are relative. */
     double minPerformanceIndex() {
         return minPerformanceIndex;
     }
@@ -86,13 +89,13 @@
         return totalCapacity;
     }
 
-    /** The ready worker at this place in the running sum of capacities; O(log n). */
-    WorkerState readyAtCapacity(double place) {
+    /** The ready worker whose interval of the running sum of capacities contains the position; O(log n). */
+    WorkerState readyAtCapacity(double position) {
         int low = 0;
         int high = ready.size() - 1;
         while (low < high) {
             int middle = (low + high) / 2;
-            if (ready.get(middle).cumulativeCapacity < place) {
+            if (ready.get(middle).cumulativeCapacity < position) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -101,7 +104,7 @@
         return ready.get(low);
     }
 
-    /** The list of discovery, or what changed in it. */
+    /** Applies a full endpoint list or a change of it, and refreshes the views. */
     void applyEndpointUpdate(EndpointUpdate update, List<WorkerEndpoint> entries) {
         if (update == EndpointUpdate.SNAPSHOT) {
             for (WorkerState worker : workers.values()) {
@@ -121,9 +124,9 @@
         if (worker == null) {
             worker = new WorkerState(entry, kinds.computeIfAbsent(entry.kind(), name -> new PerformanceIndex()));
             worker.slots = worker.kind.slots > 0 ? worker.kind.slots : loads.assumedSlots; // until it reports
-            worker.lastUsed = -random.nextInt(FIRST_USE_PLACES);
+            worker.lastUsed = -random.nextInt(UNUSED_ORDER_RANGE);
             workers.put(entry.id(), worker);
-        } else if (entry.startedNs() != worker.endpoint.startedNs()) { // a new process: what was known is void
+        } else if (entry.startedNs() != worker.endpoint.startedNs()) { // a new process: drop the state of the old one
             worker.estimatedElsewhere = 0;
             worker.suspicion = 1;
             worker.sentWhileWarming.clear();
@@ -145,7 +148,7 @@
                 entry.weight());
     }
 
-    /** Renews indices, sums and views, unless they are younger than so many nanoseconds; O(n). */
+    /** Recomputes indices, sums and views unless they are less than {@code minAgeNs} nanoseconds old; O(n). */
     void refresh(long minAgeNs) {
         if (context.now - refreshedAt < minAgeNs) {
             return;
