--- a/src/test/java/beechseam/dispatch/FleetSimulation.java
+++ b/src/test/java/beechseam/dispatch/FleetSimulation.java
@@ -22,18 +22,22 @@
 import java.util.function.Consumer;
 
 /**
- * Many real engines with their dispatchers before simulated workers, on one virtual clock: a run of a few minutes
- * takes a second, and the same seed gives the same run. It checks the rules of the deployment, and counts violations.
+ * Simulates a fleet: real engines with their dispatchers send to simulated workers on one virtual clock. A run of a few
+ * minutes takes a second, and the same seed gives the same run. Violations of the deployment's rules are collected in
+ * {@link #violations}.
  */
 final class FleetSimulation {
     static final long MS = 1_000_000L;
     static final long S = 1_000_000_000L;
     private static final long HOP_NS = MS / 2;
 
-    /** Work that reached a worker while it warmed up, and whether the sender knew of that start of the worker. */
+    /** Work that a worker received while warming up, and whether the sender knew of the worker's latest start. */
     private record ReceivedWork(long at, double work, boolean startKnown) {}
 
-    /** A worker: {@code slots} jobs at once, in order where {@code fifo}, else whatever fits. */
+    /**
+     * A worker that runs jobs as far as its slots suffice. With {@code fifo}, a job that does not fit blocks the jobs
+     * behind it; otherwise they overtake it.
+     */
     final class SimulatedWorker {
         final long id;
         final String zone;
@@ -79,7 +83,7 @@
 
         void receive(Execution job) {
             if (stalled || collapsed) {
-                return; // nothing is said
+                return; // no answer
             }
             chargeBudget(job);
             if (random.nextDouble() < failureRate) {
@@ -90,27 +94,31 @@
             startNext();
         }
 
-        /** What a warming worker receives within the window of the rule; past the budget and chance it collapses. */
+        /**
+         * Counts the work that a warming worker receives within the overload window. The worker collapses when that
+         * exceeds the budget and its allowance for chance.
+         */
         private void chargeBudget(Execution job) {
             if (startedNs == 0 || now - startedNs > settings.rules().slowStartNs()) {
                 return;
             }
-            long span = settings.rules().overloadWindowNs();
+            long windowNs = settings.rules().overloadWindowNs();
             receivedWork.add(new ReceivedWork(now, job.work * job.requiredSlots, job.knownStartNs == startedNs));
-            receivedWork.removeIf(each -> each.at < now - span);
+            receivedWork.removeIf(each -> each.at < now - windowNs);
             double mean = meanWork();
-            double n = settings.rules().overloadFactor() * slowStartCapacity() * slots * speed * span / mean;
-            double most = n + 2 * Math.sqrt(n) + 2; // the operators' term: the rest is chance
+            double n = settings.rules().overloadFactor() * slowStartCapacity() * slots * speed * windowNs / mean;
+            double maxRuns = n + 2 * Math.sqrt(n) + 2; // the excess over n that the operators accept as chance
             double sum = receivedWork.stream().mapToDouble(each -> each.work).sum() / mean;
-            double sentKnowingly = receivedWork.stream()
+            double knownStartWork = receivedWork.stream()
                             .mapToDouble(each -> each.startKnown ? each.work : 0)
                             .sum()
                     / mean;
-            maxBudgetUse = Math.max(maxBudgetUse, sentKnowingly / most);
-            if (!collapsed && sum > most) {
+            maxBudgetUse = Math.max(maxBudgetUse, knownStartWork / maxRuns);
+            if (!collapsed && sum > maxRuns) {
                 collapsed = true;
-                if (sentKnowingly > sum * 2 / 3) {
-                    violations.add(id + " overloaded by " + sentKnowingly + " of " + sum + ", its budget is " + most);
+                if (knownStartWork > sum * 2 / 3) {
+                    violations.add(
+                            id + " overloaded by " + knownStartWork + " of " + sum + ", its budget is " + maxRuns);
                 }
             }
         }
@@ -159,21 +167,21 @@
         double work;
         double requiredSlots;
         boolean cancelled;
-        /** The start of its worker that its node knew of as it was sent. */
+        /** Start time of the worker that the node knew when it sent the job. */
         long knownStartNs;
 
-        /** A process that has ended hears nothing any more. */
-        void deliver(Consumer<Engine> what) {
+        /** Delivers an event to the engine that sent the job, unless its process has ended. */
+        void deliver(Consumer<Engine> event) {
             if (engine == node.engine) {
-                what.accept(engine);
+                event.accept(engine);
             }
         }
     }
 
-    /** One node, on its clients' side and its workers'. */
+    /** A node: an engine with its timers and its connections to workers. */
     final class Node implements Egress, Timers {
         private final Set<Timer> armed = new HashSet<>();
-        /** Of which start of each worker it has been told. */
+        /** Start time of each worker as known from discovery. */
         final Map<SimulatedWorker, Long> knownStarts = new HashMap<>();
 
         final int number;
@@ -186,7 +194,7 @@
 
         void start() {
             DispatchSettings s = settings;
-            DispatchSettings own = new DispatchSettings(
+            DispatchSettings nodeSettings = new DispatchSettings(
                     s.classes(),
                     s.limits(),
                     s.rules(),
@@ -202,14 +210,14 @@
                     s.healthCheckCost(),
                     s.weightByWork(),
                     s.liveWeights());
-            engine = new Engine(own, random.nextLong(), () -> now, this, this, new Counters());
+            engine = new Engine(nodeSettings, random.nextLong(), () -> now, this, this, new Counters());
         }
 
         private String zone() {
             return zones.get(number % zones.size());
         }
 
-        /** The process ends and another starts: nothing of the first is known, and its clients disconnect. */
+        /** Ends the process and starts another one without its state; the clients of the first one disconnect. */
         void restart() {
             armed.forEach(timers::cancel);
             armed.clear();
@@ -236,7 +244,7 @@
             sends.merge(attempt.target, 1, Integer::sum);
             attempt.begun();
             if (now - settings.rules().drainGraceNs() > worker.drainListedAt) {
-                violations.add("sent to " + worker.id + " after its drain");
+                violations.add("sent to " + worker.id + " after its drain grace period");
             }
             clientRequest.checkRetry(worker, attempt.request.correlation);
             Execution job = new Execution();
@@ -247,8 +255,8 @@
             job.requiredSlots = clientRequest.requiredSlots;
             job.knownStartNs = knownStarts.getOrDefault(worker, 0L);
             attempt.exchange = job;
-            long way = HOP_NS + (worker.zone.equals(zone()) ? 0 : MS);
-            after(way, () -> worker.receive(job));
+            long delayNs = HOP_NS + (worker.zone.equals(zone()) ? 0 : MS);
+            after(delayNs, () -> worker.receive(job));
         }
 
         @Override
@@ -265,7 +273,7 @@
         }
     }
 
-    /** A client's request and its answers; it checks that attempts keep to the class's idempotency. */
+    /** A client's request; checks that it is answered once, and retried only as the class's idempotency allows. */
     final class ClientRequest implements Ingress {
         final int jobClass;
         final double work;
@@ -273,7 +281,7 @@
         final long firstAt;
         final int clientAttempt;
         int answers;
-        private SimulatedWorker first;
+        private SimulatedWorker firstWorker;
         private long firstSentAt;
 
         ClientRequest(int jobClass, double work, double requiredSlots, long firstAt, int clientAttempt) {
@@ -284,21 +292,22 @@
             this.clientAttempt = clientAttempt;
         }
 
-        /** Whatever is sent here may have run: a further one goes as the class allows. */
+        /** Checks that an attempt is allowed after earlier ones, each of which may have run. */
         private void checkRetry(SimulatedWorker worker, String id) {
             JobClass c = settings.classes().get(jobClass);
-            if (first != null && c.idempotency() != Idempotency.IDEMPOTENT) {
-                boolean same = c.deduplicationScope() == DeduplicationScope.ALL
-                        || first.zone.equals(worker.zone)
-                                && (c.deduplicationScope() == DeduplicationScope.ZONE || first.cell == worker.cell);
+            if (firstWorker != null && c.idempotency() != Idempotency.IDEMPOTENT) {
+                boolean sameScope = c.deduplicationScope() == DeduplicationScope.ALL
+                        || firstWorker.zone.equals(worker.zone)
+                                && (c.deduplicationScope() == DeduplicationScope.ZONE
+                                        || firstWorker.cell == worker.cell);
                 if (c.idempotency() == Idempotency.NON_IDEMPOTENT
-                        || !same
+                        || !sameScope
                         || now - firstSentAt > c.idempotencyWindowNs()) {
-                    violations.add(id + " of " + c.name() + " sent to " + first.id + ", then to " + worker.id);
+                    violations.add(id + " of " + c.name() + " sent to " + firstWorker.id + ", then to " + worker.id);
                 }
             }
-            firstSentAt = first == null ? now : firstSentAt;
-            first = first == null ? worker : first;
+            firstSentAt = firstWorker == null ? now : firstSentAt;
+            firstWorker = firstWorker == null ? worker : firstWorker;
         }
 
         private void recordAnswer(Request r) {
@@ -306,7 +315,7 @@
                 violations.add("two answers to " + r.correlation);
             }
             if (now > r.deadlineAt) {
-                violations.add("an answer after the time of " + r.correlation);
+                violations.add("answer after the deadline of " + r.correlation);
             }
             unanswered--;
         }
@@ -322,7 +331,7 @@
         public void shed(Request r, long retryAfterNs) {
             recordAnswer(r);
             retryAfters.add(retryAfterNs);
-            if (clientAttempt < maxClientAttempts) { // at once, whatever it was told
+            if (clientAttempt < maxClientAttempts) { // the client ignores the advised retry time
                 after(20 * MS, () -> submit(jobClass, work, requiredSlots, firstAt, clientAttempt + 1));
             } else {
                 count(shed, jobClass);
@@ -349,7 +358,7 @@
     final Random random;
     List<String> zones = List.of("z1");
     double[] classShares = {1};
-    /** What each node gets of the traffic, or null: all alike. */
+    /** Relative share of the traffic for each node, or null for equal shares. */
     double[] nodeShares;
 
     double[] meanWorks = {100 * MS};
@@ -371,28 +380,28 @@
         random = new Random(seed);
     }
 
-    private static void count(Map<Integer, Integer> of, int jobClass) {
-        of.merge(jobClass, 1, Integer::sum);
+    private static void count(Map<Integer, Integer> counts, int jobClass) {
+        counts.merge(jobClass, 1, Integer::sum);
     }
 
-    void after(long span, Runnable what) {
+    void after(long delayNs, Runnable action) {
         timers.set(
                 new Timer() {
                     @Override
                     protected void fire() {
-                        what.run();
+                        action.run();
                     }
                 },
-                now + span);
+                now + delayNs);
     }
 
     SimulatedWorker addWorker(long id, String zone, int cell, int slots, double speed) {
-        SimulatedWorker b = new SimulatedWorker(id, zone, cell, slots, speed);
-        workers.put(id, b);
-        return b;
+        SimulatedWorker worker = new SimulatedWorker(id, zone, cell, slots, speed);
+        workers.put(id, worker);
+        return worker;
     }
 
-    /** The nodes start with the whole list; reports are renewed from now on. */
+    /** Starts nodes with the full endpoint list, and periodic load reports of the workers. */
     void start(int count) {
         for (int i = 0; i < count; i++) {
             nodes.add(new Node(i));
@@ -405,47 +414,49 @@
         return workers.values().stream().map(FleetSimulation::endpoint).toList();
     }
 
-    static WorkerEndpoint endpoint(SimulatedWorker b) {
-        return new WorkerEndpoint(b.id, b.cell, b.zone, "k" + b.slots, b.startedNs, b.state, Double.NaN);
+    static WorkerEndpoint endpoint(SimulatedWorker worker) {
+        return new WorkerEndpoint(
+                worker.id, worker.cell, worker.zone, "k" + worker.slots, worker.startedNs, worker.state, Double.NaN);
     }
 
-    /** Each node is told of a change, each at a time of its own. */
-    void announce(SimulatedWorker b, long withinNs) {
-        WorkerEndpoint row = endpoint(b);
-        for (Node n : nodes) {
+    /** Announces a changed worker to all nodes, to each at a random time within {@code withinNs}. */
+    void announce(SimulatedWorker worker, long withinNs) {
+        WorkerEndpoint entry = endpoint(worker);
+        for (Node node : nodes) {
             after((long) (random.nextDouble() * withinNs), () -> {
-                n.engine.updateEndpoints(EndpointUpdate.DELTA, List.of(row));
-                n.knownStarts.put(b, row.startedNs());
+                node.engine.updateEndpoints(EndpointUpdate.DELTA, List.of(entry));
+                node.knownStarts.put(worker, entry.startedNs());
             });
         }
-        b.drainListedAt = b.state == EndpointState.READY ? Long.MAX_VALUE : now + withinNs;
+        worker.drainListedAt = worker.state == EndpointState.READY ? Long.MAX_VALUE : now + withinNs;
     }
 
     private void report() {
-        for (SimulatedWorker b : workers.values()) {
-            double free = Math.max(0, b.slots - b.slotsInUse());
-            LoadReport l =
-                    reporting ? new LoadReport(b.inFlight(), b.queue.size(), free, Double.NaN, Double.NaN) : null;
-            after(reportMs * MS / 2, () -> b.lastReport = l);
-        }
-        if (settings.liveWeights()) { // a list that tells each one's load, to all alike and late
-            List<WorkerEndpoint> rows = workers.values().stream()
-                    .filter(b -> b.state == EndpointState.READY)
-                    .map(b -> new WorkerEndpoint(
-                            b.id,
-                            b.cell,
-                            b.zone,
-                            "k" + b.slots,
-                            b.startedNs,
-                            b.state,
-                            b.slots / (1 + b.inFlight() / (double) b.slots)))
+        for (SimulatedWorker worker : workers.values()) {
+            double free = Math.max(0, worker.slots - worker.slotsInUse());
+            LoadReport load = reporting
+                    ? new LoadReport(worker.inFlight(), worker.queue.size(), free, Double.NaN, Double.NaN)
+                    : null;
+            after(reportMs * MS / 2, () -> worker.lastReport = load);
+        }
+        if (settings.liveWeights()) { // the endpoint list carries loads, with a delay that is equal for all nodes
+            List<WorkerEndpoint> entries = workers.values().stream()
+                    .filter(worker -> worker.state == EndpointState.READY)
+                    .map(worker -> new WorkerEndpoint(
+                            worker.id,
+                            worker.cell,
+                            worker.zone,
+                            "k" + worker.slots,
+                            worker.startedNs,
+                            worker.state,
+                            worker.slots / (1 + worker.inFlight() / (double) worker.slots)))
                     .toList();
             after(
                     reportMs * MS,
-                    () -> nodes.forEach(n -> n.engine.updateEndpoints(
+                    () -> nodes.forEach(node -> node.engine.updateEndpoints(
                             EndpointUpdate.DELTA,
-                            rows.stream()
-                                    .filter(r -> workers.get(r.id()).state == EndpointState.READY)
+                            entries.stream()
+                                    .filter(entry -> workers.get(entry.id()).state == EndpointState.READY)
                                     .toList())));
         }
         after(reportMs * MS, this::report);
@@ -463,7 +474,7 @@
         return sum / Arrays.stream(classShares).sum();
     }
 
-    /** So many jobs a second come from now on, of all classes, to nodes drawn. */
+    /** Submits jobs of random classes to random nodes for {@code forNs}, as a Poisson process. */
     void load(double perSecond, long forNs) {
         long end = now + forNs;
         after((long) (-Math.log(1 - random.nextDouble()) / perSecond * S), () -> {
@@ -477,29 +488,30 @@
         });
     }
 
-    private int draw(double[] of) {
-        double at = random.nextDouble() * Arrays.stream(of).sum();
-        for (int i = 0; i < of.length; i++) {
-            at -= of[i];
-            if (at < 0) {
+    /** Draws an index with the probabilities given by the weights. */
+    private int draw(double[] weights) {
+        double position = random.nextDouble() * Arrays.stream(weights).sum();
+        for (int i = 0; i < weights.length; i++) {
+            position -= weights[i];
+            if (position < 0) {
                 return i;
             }
         }
-        return of.length - 1;
+        return weights.length - 1;
     }
 
     void submit(int jobClass, double work, double requiredSlots, long firstAt, int clientAttempt) {
-        Node n = nodes.get(nodeShares == null ? random.nextInt(nodes.size()) : draw(nodeShares));
+        Node node = nodes.get(nodeShares == null ? random.nextInt(nodes.size()) : draw(nodeShares));
         ClientRequest clientRequest = new ClientRequest(jobClass, work, requiredSlots, firstAt, clientAttempt);
         unanswered++;
         long budget = settings.classes().get(jobClass).deadlineNs();
         beechseam.dispatch.Job job =
                 new beechseam.dispatch.Job(0, jobClass, budget, 0, requiredSlots, 0, clientAttempt == 1);
-        n.engine.submit("j" + ++jobs, job, clientRequest, clientRequest);
+        node.engine.submit("j" + ++jobs, job, clientRequest, clientRequest);
     }
 
-    void run(long span) {
-        long end = now + span;
+    void run(long durationNs) {
+        long end = now + durationNs;
         for (Timer t = timers.due(end); t != null; t = timers.due(end)) {
             now = t.due();
             t.run();
@@ -507,11 +519,11 @@
         now = end;
     }
 
-    static int sum(Map<Integer, Integer> of) {
-        return of.values().stream().mapToInt(Integer::intValue).sum();
+    static int sum(Map<Integer, Integer> counts) {
+        return counts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Of the jobs of a class that have ended, or (-1) of all, the share that was served in time. */
+    /** Share of the ended jobs of a class, or of all classes for -1, that were served in time. */
     double inTimeFraction(int jobClass) {
         int all = 0;
         for (Map<Integer, Integer> each : List.of(inTime, late, shed, failed)) {
--- a/src/test/java/beechseam/dispatch/LearnedStateTest.java
+++ b/src/test/java/beechseam/dispatch/LearnedStateTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Names and figures as processes of earlier versions write and read them. */
+/** Guards the encoding of learned state, which processes of other versions write and read. */
 class LearnedStateTest {
     @Test
     void entriesKeepTheirNamesOrderAndFigures() {
@@ -24,7 +24,7 @@
         assertArrayEquals(new double[] {1, 2, 3, 4, 5}, entries.get("class mail"));
         assertArrayEquals(new double[] {6, 7}, entries.get("kind std"));
         assertArrayEquals(new double[] {1, 2, 3, 4, 5, 6}, entries.get("worker 12"));
-        assertArrayEquals(new double[] {100, 7, 50, 8}, entries.get("cold 12"), "ages, not times");
+        assertArrayEquals(new double[] {100, 7, 50, 8}, entries.get("cold 12"), "sends are encoded by their ages");
     }
 
     @Test
@@ -44,7 +44,10 @@
         assertEquals(jobClass, read.jobClass(""));
         assertEquals(kind, read.kind("a b"));
         assertEquals(worker, read.worker(-3));
-        assertEquals(List.of(new TimedWork(4900, 7)), read.sentWhileWarming(-3, 5000), "by the reader's clock");
+        assertEquals(
+                List.of(new TimedWork(4900, 7)),
+                read.sentWhileWarming(-3, 5000),
+                "times are converted to the reader's clock");
     }
 
     @Test
--- a/src/test/java/beechseam/dispatch/OutlierDetectorTest.java
+++ b/src/test/java/beechseam/dispatch/OutlierDetectorTest.java
@@ -72,7 +72,7 @@
     void silenceOfARunIsAStallOncePastItsProgressInterval() {
         Attempt attempt = fixture.attempt(fixture.job(1), worker);
         attempt.startedAt = fixture.context.now;
-        // an interval of 1 s, and a grace of two start lags of 20 ms and two ticks of 50 ms
+        // The report is due after 1 s, and the grace time is two start lags of 20 ms plus two ticks of 50 ms.
         fixture.context.now += S + 140 * MS;
         outliers.detectStall(attempt);
         assertEquals(1, outliers.suspicion(worker));
@@ -83,7 +83,7 @@
         fixture.context.now += 10 * S;
         double before = outliers.suspicion(worker);
         outliers.detectStall(attempt);
-        assertEquals(before, outliers.suspicion(worker), "it has ended");
+        assertEquals(before, outliers.suspicion(worker), "an ended attempt changes nothing");
     }
 
     @Test
@@ -93,7 +93,11 @@
         fixture.context.now += 141 * MS;
         outliers.detectStall(attempt);
         assertEquals(1, outliers.suspicion(worker));
-        assertEquals(worker.slots, worker.estimatedElsewhere, 1e-9, "others are estimated to hold all its slots");
+        assertEquals(
+                worker.slots,
+                worker.estimatedElsewhere,
+                1e-9,
+                "other dispatchers are estimated to use all slots of the worker");
         fixture.context.now += 20 * S;
         outliers.detectStall(attempt);
         assertTrue(outliers.suspicion(worker) > 2);
--- a/src/test/java/beechseam/dispatch/SlowStartTest.java
+++ b/src/test/java/beechseam/dispatch/SlowStartTest.java
@@ -7,7 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** By the rules of the harness: from a quarter of capacity to all of it in 8 s, a window of 1 s, factor 3. */
+/**
+ * Rules of the harness: capacity grows from a quarter to all of it in 8 s, and a warming worker is overloaded by 3
+ * times its capacity within a window of 1 s.
+ */
 class SlowStartTest {
     private final DispatchFixture fixture = DispatchFixture.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
     private final SlowStart slowStart = fixture.fleet.slowStart();
@@ -43,9 +46,10 @@
         while (slowStart.slowStartBudgetAllows(worker, fixture.job(sent))) {
             slowStart.recordSend(worker, fixture.job(sent));
             sent++;
-            assertTrue(sent < 100, "the budget has an end");
+            assertTrue(sent < 100, "the budget is limited");
         }
-        // two slots at a quarter for 1 s, factor 3, half of it used: 0.75 s for jobs booked at 1.25 times 0.4 s
+        // Two slots at a quarter of capacity for 1 s, times factor 3, of which half is used, allow 0.75 s of work; a
+        // job is charged as 1.25 times 0.4 s.
         assertEquals(1, sent);
         fixture.context.now += S - 1;
         assertFalse(slowStart.slowStartBudgetAllows(worker, fixture.job(50)));
@@ -56,11 +60,18 @@
     @Test
     void budgetIsClosedWhileEarlierSendsAreUnknown() {
         WorkerState worker = fixture.worker(1, "z1", fixture.context.now);
-        assertFalse(slowStart.slowStartBudgetAllows(worker, fixture.job(1)), "an earlier process may have sent");
+        assertFalse(
+                slowStart.slowStartBudgetAllows(worker, fixture.job(1)),
+                "an earlier process may have sent jobs to the worker");
         slowStart.adoptSends();
-        assertTrue(slowStart.slowStartBudgetAllows(worker, fixture.job(1)), "its record was handed over");
+        assertTrue(
+                slowStart.slowStartBudgetAllows(worker, fixture.job(1)),
+                "the earlier process has handed over its record of sends");
         slowStart.releaseSends();
-        assertFalse(slowStart.slowStartBudgetAllows(worker, fixture.job(1)), "another process may send now");
-        assertTrue(slowStart.slowStartBudgetAllows(fixture.worker(2, "z1", 0), fixture.job(1)), "warm: no budget");
+        assertFalse(
+                slowStart.slowStartBudgetAllows(worker, fixture.job(1)), "another process may send to the worker now");
+        assertTrue(
+                slowStart.slowStartBudgetAllows(fixture.worker(2, "z1", 0), fixture.job(1)),
+                "a warm worker is not limited by the budget");
     }
 }
