--- a/src/main/java/beechseam/dispatch/LoadEstimator.java
+++ b/src/main/java/beechseam/dispatch/LoadEstimator.java
@@ -8,7 +8,7 @@
  * dispatchers.
  */
 final class LoadEstimator {
-    /** Each other dispatcher is assumed to have sent a worker this share of what this one sent since its report. */
+    /** Share of this dispatcher's sends since a worker's report that each other one is assumed to have sent too. */
     private static final double HERDING_CORRECTION = 0.7;
     /** Age in mean runs past which a report is ignored, as its weight, e^-age, is then negligible. */
     private static final double MAX_REPORT_AGE_RUNS = 30;
--- a/src/main/java/beechseam/dispatch/OutlierDetector.java
+++ b/src/main/java/beechseam/dispatch/OutlierDetector.java
@@ -18,7 +18,7 @@
     private static final double FAILURE_FACTOR = 2;
     /** Factor by which a rejection or an unanswered health check raises suspicion. */
     private static final double MINOR_FAILURE_FACTOR = 1.5;
-    /** A run counts as slowed down when its best progress rate exceeds its current one by more than this factor. */
+    /** A run has slowed down if its best progress rate is more than this multiple of the current one. */
     private static final double SLOWDOWN_FACTOR = 1.3;
     /** Weight of one start in the mean start lag. */
     private static final double START_LAG_GAIN = 0.05;
@@ -94,8 +94,7 @@
 
     /**
      * Records the reported progress of a run. A run that has slowed down raises its worker's suspicion to the ratio of
-     * its best progress rate to the current one; any other positive progress counts as a
-     * success.
+     * its best progress rate to the current one; any other positive progress counts as a success.
      */
     void recordProgress(Attempt attempt, double progress) {
         double rate = (progress - attempt.progress) / (context.now - attempt.lastProgressAt);
--- a/src/main/java/beechseam/dispatch/WorkerState.java
+++ b/src/main/java/beechseam/dispatch/WorkerState.java
@@ -15,7 +15,7 @@
     final PerformanceIndex kind;
     /** Sum of the capacities of the ready workers up to and including this one. */
     double cumulativeCapacity;
-    /** {@link WorkerSelector}: sequence number of the latest send to this worker; random and not positive before it. */
+    /** {@link WorkerSelector}: sequence number of the latest send; before the first, a random number up to 0. */
     long lastUsed;
 
     /** {@link RunTimeModel}: performance index of this worker alone. */
--- a/src/test/java/beechseam/dispatch/FleetStressTest.java
+++ b/src/test/java/beechseam/dispatch/FleetStressTest.java
@@ -20,7 +20,7 @@
     private static final DispatchLimits NO_HEDGING = new DispatchLimits(3, 2 * S, true, true, false, false, 10 * S);
     private static final WorkerRules RULES = new WorkerRules(250 * MS, 10 * S, 0.12, 23 * S, 3, S, false);
 
-    /** Five nodes before 15 workers of five zones, with long runs, jobs of 1 to 4 slots and FIFO queues. */
+    /** Five nodes that share 15 workers of five zones, with long runs, jobs of 1 to 4 slots and FIFO queues. */
     private static FleetSimulation longRunFleet(long seed, boolean starts) {
         List<JobClass> classes = List.of(
                 new JobClass(
@@ -59,7 +59,7 @@
         assertEquals(0, fleet.unanswered, "every request is answered");
     }
 
-    /** Injects a fault into some workers after ten seconds; returns the sends to each worker during the fault. */
+    /** Injects a fault into some workers after ten seconds and later ends it; returns the sends meanwhile by worker. */
     private static Map<Long, Integer> runWithFault(
             FleetSimulation fleet,
             double perSecond,
@@ -187,12 +187,12 @@
         assertTrue(fleet.inTimeFraction(-1) > 0.96, fleet.inTimeFraction(-1) + " " + fleet);
     }
 
-    /** A hundred nodes before 64 workers of three zones, with short runs; each node gets a hundredth of all jobs. */
+    /** A hundred nodes that share 64 workers of three zones; each node gets a hundredth of the jobs. Runs are short. */
     private static FleetSimulation shortRunFleet(long seed) {
         return shortRunFleet(seed, 100, 64);
     }
 
-    /** Nodes before workers of three zones, with short runs of one slot. */
+    /** Nodes that share workers of three zones, with short runs of one slot. */
     private static FleetSimulation shortRunFleet(long seed, int nodes, int workers) {
         JobClass safe =
                 new JobClass("safe", 80 * MS, 5 * S, 2, 3, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null);
@@ -237,9 +237,9 @@
     @ParameterizedTest
     @CsvSource({"3, 12, 8", "20, 30, 5", "30, 40, 4", "100, 64, 2"})
     void slowStartBudgetHoldsAcrossAllProcesses(int nodes, int workers, int seeds) {
-        double most = 0;
-        int all = seeds * Integer.getInteger("cold.seeds", 1);
-        for (long seed = 1; seed <= all; seed++) {
+        double maxUse = 0;
+        int seedCount = seeds * Integer.getInteger("cold.seeds", 1);
+        for (long seed = 1; seed <= seedCount; seed++) {
             FleetSimulation fleet = shortRunFleet(seed, nodes, workers);
             fleet.nodeShares = new double[nodes];
             for (int i = 0; i < nodes; i++) {
@@ -272,11 +272,11 @@
             fleet.run(12 * S);
             assertEquals(List.of(), fleet.violations, "seed " + seed);
             assertTrue(fleet.sends.getOrDefault(501L, 0) > 0, "a replacement is used while it warms up");
-            most = Math.max(most, fleet.maxBudgetUse);
+            maxUse = Math.max(maxUse, fleet.maxBudgetUse);
         }
-        System.out.println("warming workers, " + nodes + " processes, " + all + " seeds: at most " + most
+        System.out.println("warming workers, " + nodes + " processes, " + seedCount + " seeds: at most " + maxUse
                 + " of N + 2 sqrt(N) + 2");
-        assertTrue(most <= 1, "" + most);
+        assertTrue(maxUse <= 1, "" + maxUse);
     }
 
     @Test
@@ -392,6 +392,7 @@
             }
         }
         assertTrue(
-                variance[0] < 2 * 2 * variance[1], "deviation " + Math.sqrt(variance[0] / variance[1]) + " of random");
+                variance[0] < 2 * 2 * variance[1],
+                Math.sqrt(variance[0] / variance[1]) + " times the expected deviation");
     }
 }
