--- a/src/test/java/beechseam/platform/ProcessHandoverTest.java
+++ b/src/test/java/beechseam/platform/ProcessHandoverTest.java
@@ -59,9 +59,9 @@
 
     private void answerDiscovery() {
         for (Peer each : discovery) {
-            if (each.heard().endsWith("\r\n\r\n") && !each.heard().contains("wait_ms")) {
+            if (each.receivedText().endsWith("\r\n\r\n") && !each.receivedText().contains("wait_ms")) {
                 each.take();
-                each.say(answer("200 OK", list(2, row("SERVING"))));
+                each.send(answer("200 OK", list(2, row("SERVING"))));
             }
         }
     }
@@ -79,8 +79,8 @@
     @Test
     void predecessorAnswersItsJobsWhileClientsGoToTheSuccessor() throws Exception {
         Peer early = ask("c1", "once", "30000m");
-        attempt(0, "c1").say(answer("202 Accepted", ""));
-        Peer idle = client().say("GET /_health HTTP/1.1\r\n\r\n");
+        attempt(0, "c1").send(answer("202 Accepted", ""));
+        Peer idle = client().send("GET /_health HTTP/1.1\r\n\r\n");
         heard(idle, "ready\n");
         PlatformNode successor = start();
         assertEquals("ERR starting\n", status(successor), "not before discovery has told it the list");
@@ -90,9 +90,9 @@
         });
         stop(predecessor);
         assertEquals("ERR stopping\n", status(predecessor));
-        idle.say("GET /_health HTTP/1.1\r\n\r\n");
+        idle.send("GET /_health HTTP/1.1\r\n\r\n");
         assertTrue(heard(idle, "ready\n").startsWith("HTTP/1.1 200"), "one process's end is not the node's");
-        net.until("the client sent on", () -> idle.gone);
+        net.until("the client sent on", () -> idle.disconnected);
         net.settle(50);
         Peer next = ask("c2", "once", "30000m"); // the predecessor listens no more
         net.until("taken by the successor", () -> successor.counters.requestsAccepted == 1);
@@ -112,7 +112,7 @@
     @Test
     void predecessorListensAgainWhenItsSuccessorStops() throws Exception {
         Peer early = ask("c1", "once", "30000m");
-        attempt(0, "c1").say(answer("202 Accepted", ""));
+        attempt(0, "c1").send(answer("202 Accepted", ""));
         PlatformNode successor = startSuccessor();
         stop(predecessor);
         stop(successor);
@@ -166,7 +166,7 @@
         for (int i = 0; i < 5; i++) {
             rested();
             Peer client = ask("c" + i, "safe", "30000m");
-            attempt(0, "c" + i).say(answer("202 Accepted", ""));
+            attempt(0, "c" + i).send(answer("202 Accepted", ""));
             executor.get(0).take();
             event("c" + i, "\"from\":\"s-0badcafe\",\"state\":\"started\"");
             done("c" + i, "r");
@@ -239,7 +239,7 @@
             }
             executor.stream()
                     .filter(each -> each.take().endsWith("body"))
-                    .forEach(each -> each.say(answer("202 Accepted", "")));
+                    .forEach(each -> each.send(answer("202 Accepted", "")));
             answerDiscovery();
             net.settle(random.nextInt(3));
         }
@@ -248,9 +248,9 @@
                 "all answers",
                 () -> last.engine.openRequests() == 0
                         && ended.contains(predecessor)
-                        && clients.stream().allMatch(each -> each.heard().contains("\r\n\r\n")));
+                        && clients.stream().allMatch(each -> each.receivedText().contains("\r\n\r\n")));
         for (Peer each : clients) {
-            assertEquals(0, each.heard().lastIndexOf("HTTP/1.1 "), "one answer: " + each.heard());
+            assertEquals(0, each.receivedText().lastIndexOf("HTTP/1.1 "), "one answer: " + each.receivedText());
         }
         assertEquals(clients.size(), answers(predecessor.counters) + answers(last.counters));
         assertEquals(0, predecessor.counters.faults + last.counters.faults);
