--- a/src/main/java/beechseam/core/Attempt.java
+++ b/src/main/java/beechseam/core/Attempt.java
@@ -1,29 +1,30 @@
 package beechseam.core;
 
-/** One attempt at a request, at one target. Its state changes on the engine's thread only. */
+/** One attempt to execute a request on one target. Its state changes only on the engine's thread. */
 public final class Attempt {
-    /** The request that it serves. */
+    /** The request that this attempt executes. */
     public final Request request;
 
-    /** Its place among the attempts of its request, from 0. */
+    /** Index of this attempt among those of its request, from 0. */
     public final int number;
 
-    /** The id of its target in the {@link RouteTable}. */
+    /** The target's id in the {@link RouteTable}. */
     public final long target;
 
     /**
-     * What the egress keeps of it, or null; the core does not look inside. An {@code Object}, since each host keeps a
-     * type of its own here (a submission, a call, a worker's session) that would have to implement a marker type.
+     * State that the egress attaches to the attempt, or null; the engine does not read it. The type is {@code Object}
+     * because each host stores a type of its own here (a submission, a call, a worker's session), which would otherwise
+     * have to implement a marker interface.
      */
     public Object exchange;
 
-    /** Its time limit, or null when it has none of its own. */
+    /** Fires at the attempt's own time limit; null if it has none. */
     final Timer timeout;
 
     boolean ended;
     boolean begun;
     boolean acknowledged;
-    /** It waits for the send gate; the egress does not hold it. */
+    /** Whether the attempt waits for the send gate; the egress does not have it then. */
     boolean deferred;
 
     private boolean awaitsConfirmation;
@@ -35,15 +36,18 @@
         this.timeout = timeout;
     }
 
-    /** Its first byte goes out: from here on it may run. See {@link Engine#tryBegin}, which asks first. */
+    /**
+     * Marks that the attempt's first byte is being sent, so that it may run on the target from now on. {@link
+     * Engine#tryBegin} checks whether it may be sent, and then calls this.
+     */
     public void begun() {
         begun = true;
     }
 
     /**
-     * Sets whether its target may still hold it, or report on it again, once it has ended here. An egress whose wire
-     * cannot tell two attempts of one request at one target apart sets it with the first byte, and resets it where
-     * the end proves that nothing more can come of it.
+     * Sets whether the target may still hold the attempt, or report on it again, after it has ended in the engine. An
+     * egress whose protocol cannot distinguish two attempts of one request on the same target sets this with the first
+     * byte, and clears it when the attempt's end proves that no further report can arrive.
      */
     public void awaitsConfirmation(boolean awaits) {
         awaitsConfirmation = awaits;
@@ -53,12 +57,12 @@
         return awaitsConfirmation;
     }
 
-    /** Whether its target has reported anything of it. */
+    /** Whether the target has reported anything about the attempt. */
     public boolean acknowledged() {
         return acknowledged;
     }
 
-    /** Whether it has ended or been given up: whatever comes of it now is too late. */
+    /** Whether the attempt has ended or was cancelled; the engine ignores later reports on it. */
     public boolean hasEnded() {
         return ended;
     }
--- a/src/main/java/beechseam/core/AttemptLifecycle.java
+++ b/src/main/java/beechseam/core/AttemptLifecycle.java
@@ -4,11 +4,11 @@
 import beechseam.dispatch.Outcome;
 
 /**
- * Attempts from the dispatcher's decision to their one end, of which the dispatcher is told exactly once, whatever
- * the egress reports and however often.
+ * Handles attempts from the dispatcher's decision to their end. The dispatcher is notified of each attempt's end
+ * exactly once, whatever the egress reports and however often.
  */
 final class AttemptLifecycle {
-    /** A process may be held up for so long between reading its clock and writing. */
+    /** The longest stall of the process, in nanoseconds, between reading its clock and writing the first byte. */
     private static final long MAX_STALL_NS = 150_000_000L;
 
     private final EngineContext context;
@@ -17,7 +17,7 @@
         this.context = context;
     }
 
-    /** Sends the next attempt of the request; {@code timeoutNs} 0: it has no time limit of its own. */
+    /** Sends the next attempt of the request; {@code timeoutNs} is 0 if it has no time limit of its own. */
     void send(Request request, long worker, long timeoutNs) {
         Timer timeout = timeoutNs == 0
                 ? null
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Sends an attempt that has waited for the send gate: its target may be listed otherwise by now. */
+    /** Sends an attempt that was deferred by the send gate, unless its target accepts no new work any more. */
     void sendDeferred(Attempt attempt) {
         if (context.routes.acceptsNewWork(attempt.target)) {
             context.egress.send(attempt);
@@ -58,7 +58,7 @@
             context.deferredWork.deferAttempt(attempt);
             return false;
         }
-        // Asking the ingress may itself end the request or the attempt.
+        // isClientConnected may itself end the request or the attempt, so both are checked again after it.
         boolean wanted =
                 !request.finished && request.ingress.isClientConnected(request) && !request.finished && !attempt.ended;
         if (wanted && context.routes.acceptsNewWork(attempt.target) && context.now() < latestBegin(attempt)) {
@@ -73,7 +73,7 @@
         return context.dispatcher().retryDeadline(attempt.request.id, attempt.number) - MAX_STALL_NS;
     }
 
-    /** It ends with nothing sent; {@code wanted}: its client still waits. */
+    /** Ends the attempt with nothing sent; {@code wanted}: its client still waits for an answer. */
     private void withhold(Attempt attempt, boolean wanted) {
         context.counters.withheld += wanted ? 1 : 0;
         EngineTrace.attemptWithheld(attempt.request.id, attempt.number, attempt.target, wanted);
@@ -100,9 +100,9 @@
     }
 
     /**
-     * Cancels an attempt for the dispatcher; no effect when there is none of that number or it has ended. Where a
-     * request may have but one attempt in flight, the egress may put its end off until the target cannot hold it any
-     * more.
+     * Cancels an attempt as the dispatcher decided; no effect if the request has no attempt with that number or the
+     * attempt has ended. If a request may have only one attempt in flight, the egress may delay the attempt's end until
+     * the target cannot hold it any more.
      */
     void cancel(Request request, int number) {
         if (number < 0 || number >= request.attempts.size() || request.attempts.get(number).ended) {
@@ -112,12 +112,12 @@
         if (request.finished || attempt.deferred || context.limits.hedging()) {
             abort(attempt);
         } else if (!context.egress.recall(attempt)) {
-            return; // the egress owes its end
+            return; // the egress reports its end later
         }
         ended(attempt, Outcome.CANCELLED, null, null);
     }
 
-    /** Within an event: ends the attempt for want of an answer in time, unless it is null or has ended. */
+    /** Ends an attempt that got no answer in time, unless it is null or has ended; called only within an event. */
     void timeOut(Attempt attempt) {
         if (attempt != null && !attempt.ended) {
             abort(attempt);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The attempt's answer is not wanted any more. */
+    /** Cancels the attempt at the egress, unless the attempt is deferred and the egress does not have it. */
     private void abort(Attempt attempt) {
         if (!attempt.deferred) {
             context.egress.cancel(attempt);
--- a/src/main/java/beechseam/core/Counters.java
+++ b/src/main/java/beechseam/core/Counters.java
@@ -6,8 +6,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What the node has accepted, sent and answered since its start. Single-threaded, like the engine. {@link #toString}
- * is the counters line that operators read, whose keys keep the names that were published for them.
+ * Counts what the node has accepted, sent and answered since its start. Single-threaded, like the engine. The result
+ * of {@link #toString} is the counters line that operators read; its keys keep their published names.
  */
 public final class Counters {
     private static final String KEY_ACCEPTED = "taken";
@@ -27,16 +27,16 @@
     private static final String KEY_FAULTS = "faults";
     private static final String KEY_OUTCOMES = "hops";
 
-    /** The jobs of one class; the sums over all are made of these. */
+    /** The counters of one job class. The totals are the sums over all classes. */
     public static final class ClassCounters {
         private long served;
         private long shed;
         private long failed;
 
-        /** Jobs shed before the dispatcher saw them. */
+        /** Jobs shed before they reached the dispatcher. */
         public long crowdedOut;
 
-        /** Attempts written to the last byte. */
+        /** Attempts written completely, up to the last byte. */
         public long written;
 
         void recordServed() {
@@ -56,12 +56,12 @@
             return served;
         }
 
-        /** Jobs that were shed, whether or not the dispatcher saw them. */
+        /** Jobs that were shed, whether or not they reached the dispatcher. */
         public long deferred() {
             return shed + crowdedOut;
         }
 
-        /** Jobs that were failed, with no promise about their effect. */
+        /** Jobs that failed; they may have taken effect. */
         public long errored() {
             return failed;
         }
@@ -78,25 +78,25 @@
     /** Requests accepted by the engine. */
     public long requestsAccepted;
 
-    /** Attempts that the dispatcher has decided on. */
+    /** Attempts that the dispatcher decided to send. */
     public long attemptsSent;
 
     /** Requests whose client disconnected before the final answer. */
     public long clientsDisconnected;
 
-    /** Callbacks for which no attempt was waiting any more. */
+    /** Callbacks that arrived when no attempt waited for them any more. */
     public long lateCallbacks;
 
-    /** Requests and callbacks rejected for their form. */
+    /** Requests and callbacks rejected as malformed. */
     public long badInput;
 
-    /** Attempts that were decided on and not sent, though their client still waited. */
+    /** Attempts that were decided but not sent, although their client still waited. */
     public long withheld;
 
-    /** Attempts whose connection fell silent before the target had acknowledged them. */
+    /** Attempts whose connection became silent before the target acknowledged them. */
     public long silent;
 
-    /** Events that ended in an exception. */
+    /** Events that threw an exception. */
     public long faults;
 
     /** Configurations loaded. */
@@ -109,7 +109,7 @@
     private final long[] outcomes = new long[Outcome.values().length];
     private long healthChecks;
 
-    /** The counters of a class, by its place in the settings; made at the first use. */
+    /** The counters of a job class, by its index in the settings; created at the first use. */
     public ClassCounters of(int jobClass) {
         while (classes.size() <= jobClass) {
             classes.add(new ClassCounters());
@@ -117,8 +117,8 @@
         return classes.get(jobClass);
     }
 
-    private long sum(ToLongFunction<ClassCounters> figure) {
-        return classes.stream().mapToLong(figure).sum();
+    private long sum(ToLongFunction<ClassCounters> counter) {
+        return classes.stream().mapToLong(counter).sum();
     }
 
     /** Jobs that got a result, over all classes. */
@@ -131,22 +131,22 @@
         return sum(each -> each.shed);
     }
 
-    /** Jobs failed with no promise about their effect, over all classes. */
+    /** Jobs that failed and may have taken effect, over all classes. */
     public long failed() {
         return sum(each -> each.failed);
     }
 
-    /** Jobs shed before the dispatcher saw them, over all classes. */
+    /** Jobs shed before they reached the dispatcher, over all classes. */
     public long crowdedOut() {
         return sum(each -> each.crowdedOut);
     }
 
-    /** Jobs accepted that have no final answer yet, whatever attempts are still in flight. */
+    /** Accepted jobs that have no final answer yet, whether or not attempts are still in flight. */
     public long current() {
         return requestsAccepted - served() - shed() - failed() - clientsDisconnected;
     }
 
-    /** Adds all that another has counted, class by class. */
+    /** Adds all counts of {@code other}, class by class. */
     public void add(Counters other) {
         for (int i = 0; i < other.classes.size(); i++) {
             of(i).add(other.classes.get(i));
@@ -176,15 +176,15 @@
     }
 
     /** Attempts that ended with one of these outcomes. */
-    public long ended(Outcome... wanted) {
+    public long ended(Outcome... counted) {
         long sum = 0;
-        for (Outcome outcome : wanted) {
+        for (Outcome outcome : counted) {
             sum += outcomes[outcome.ordinal()];
         }
         return sum;
     }
 
-    /** The counters line: one line of JSON, its keys always in the same order. */
+    /** The counters line: one line of JSON with its keys always in the same order. */
     @Override
     public String toString() {
         StringBuilder json = new StringBuilder("{");
--- a/src/main/java/beechseam/core/DeferredWork.java
+++ b/src/main/java/beechseam/core/DeferredWork.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** What waits for the {@link SendGate} to open, in order of arrival. A health check of a target waits but once. */
+/** Work that waits for the {@link SendGate} to open, in order of arrival; at most one health check per target. */
 final class DeferredWork {
     private record DeferredRequest(Request request, Job job) {}
 
@@ -18,13 +18,13 @@
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
     private final Set<Long> healthChecks = new LinkedHashSet<>();
 
-    /** Defers a request that the dispatcher has not been offered. */
+    /** Defers a request that has not been offered to the dispatcher. */
     void deferRequest(Request request, Job job) {
         request.deferred = true;
         requests.add(new DeferredRequest(request, job));
     }
 
-    /** Defers an attempt that the dispatcher has decided on and that has not begun. */
+    /** Defers an attempt that the dispatcher has decided to send and that has not begun. */
     void deferAttempt(Attempt attempt) {
         attempt.deferred = true;
         attempts.add(attempt);
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Hands on all that waits now, attempts first, but for what has ended or has its answer; what is deferred
-     * meanwhile waits for the next call.
+     * Releases all work that is deferred now: first attempts, then requests, then health checks. Attempts that have
+     * ended and requests that are finished are dropped. Work that is deferred during this call waits for the next call.
      */
     void release(BiConsumer<Request, Job> toDispatcher, Consumer<Attempt> toEgress, LongConsumer toHealthCheck) {
         List<DeferredRequest> dueRequests = new ArrayList<>(requests);
--- a/src/main/java/beechseam/core/Egress.java
+++ b/src/main/java/beechseam/core/Egress.java
@@ -1,31 +1,31 @@
 package beechseam.core;
 
 /**
- * The way to the egress targets. Every attempt handed over is reported once to {@link Engine#attemptEnded}, also one
- * that fails at once, but for those cancelled.
+ * Sends attempts and health checks to the targets. The egress calls {@link Engine#attemptEnded} exactly once for every
+ * attempt, including an attempt that fails immediately, except for a cancelled one.
  */
 public interface Egress {
     /**
-     * Sends the attempt to its target. {@link Engine#tryBegin} must be asked just before its first byte. An attempt
-     * that had to wait there for the {@link SendGate} is handed over again.
+     * Sends the attempt to its target. The egress must call {@link Engine#tryBegin} just before the first byte. An
+     * attempt that was deferred there by the {@link SendGate} is passed to this method again.
      */
     void send(Attempt attempt);
 
-    /** Gives the attempt up: its end is decided, and nothing more is owed for it. */
+    /** Cancels the attempt. The engine records its end; the egress does not report it. */
     void cancel(Attempt attempt);
 
     /**
-     * Recalls an attempt whose request goes on, and may have but one attempt in flight.
+     * Recalls an attempt whose request continues and may have only one attempt in flight.
      *
-     * @return true when it is given up as by {@link #cancel}; false when its end, CANCELLED or what it came to
-     *     meanwhile, is still owed to {@link Engine#attemptEnded}, so that no other is sent while the target may
-     *     hold this one
+     * @return true if the attempt is cancelled as by {@link #cancel}; false if the egress will still report its end to
+     *     {@link Engine#attemptEnded}, as CANCELLED or with the outcome that it had meanwhile, so that no other attempt
+     *     is sent while the target may hold this one
      */
     default boolean recall(Attempt attempt) {
         cancel(attempt);
         return true;
     }
 
-    /** Asks the target for its load; {@link Engine#healthCheckCompleted} is owed once. */
+    /** Requests the target's load; the egress reports the result once to {@link Engine#healthCheckCompleted}. */
     void healthCheck(long target);
 }
--- a/src/main/java/beechseam/core/Engine.java
+++ b/src/main/java/beechseam/core/Engine.java
@@ -11,19 +11,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Drives the dispatcher: hands it what front ends, egress and discovery report, and does what it decides. It sees to
- * one final answer a request and one end an attempt, whatever the wires do.
+ * Drives the dispatcher: passes it the events that front ends, egress and discovery report, and carries out its
+ * decisions. The engine ensures that each request gets exactly one final answer and that each attempt ends exactly
+ * once, whatever the network connections do.
  *
- * <p>Single-threaded: all calls come from the one thread that also fires the timers. The dispatcher is never entered
- * while it acts; an event that an action brings about at once waits until the running one is done (see {@code
- * EventQueue}).
+ * <p>Single-threaded: all calls come from the thread that also fires the timers. The dispatcher is not re-entrant: an
+ * event that is raised while the dispatcher acts is queued and runs after the current one (see {@code EventQueue}).
  *
- * <p>This class is the interface that the other packages call. The work is done by {@code RequestLifecycle}
- * (deadlines and final answers), {@code AttemptLifecycle} (sending, time-outs, ends) and {@code EngineActions} (the
- * dispatcher's decisions).
+ * <p>This class is the interface for the other packages. It delegates to {@code RequestLifecycle} (deadlines and final
+ * answers), {@code AttemptLifecycle} (sending, time-outs, ends) and {@code EngineActions} (the dispatcher's
+ * decisions).
  */
 public final class Engine {
-    /** An answer leaves this long before the client gives up, in nanoseconds: it has a way to go yet. */
+    /** The final answer is sent this long before the client's deadline, in nanoseconds, to arrive in time. */
     public static final long ANSWER_MARGIN_NS = 25_000_000L;
 
     private final EngineContext context;
@@ -33,8 +33,8 @@
     /**
      * Creates an engine with its dispatcher and an empty route table.
      *
-     * @param seed  of the dispatcher's random draws
-     * @param clock the time in nanoseconds, by which the timers are set too
+     * @param seed  seed of the dispatcher's random numbers
+     * @param clock the current time in nanoseconds; the timers are set on the same clock
      */
     public Engine(
             DispatchSettings settings, long seed, LongSupplier clock, Timers timers, Egress egress, Counters counters) {
@@ -45,12 +45,12 @@
         context.createDispatcher(settings, seed, new EngineActions(context, requests, attempts));
     }
 
-    /** The counters that were handed to the constructor. */
+    /** The counters that were passed to the constructor. */
     public Counters counters() {
         return context.counters;
     }
 
-    /** The targets as discovery lists them and operators have set them; it changes with every update. */
+    /** The targets that discovery lists, with the operators' maintenance applied; each update changes this table. */
     public RouteTable routeTable() {
         return context.routes;
     }
@@ -60,7 +60,7 @@
         return context.now();
     }
 
-    /** How many listed targets accept no new work, or are ejected by the dispatcher as outliers. */
+    /** The number of listed targets that accept no new work or that the dispatcher has ejected as outliers. */
     public long unavailableTargets() {
         return context.routes.ids().stream()
                 .filter(id -> !context.routes.acceptsNewWork(id)
@@ -68,26 +68,26 @@
                 .count();
     }
 
-    /** How many requests owe an answer or still have an attempt in flight. */
+    /** The number of requests that have no final answer yet or still have an attempt in flight. */
     public int openRequests() {
         return context.requests.size();
     }
 
-    /** The open request of that correlation, or null. */
+    /** The open request with that correlation id, or null. */
     public Request findRequest(String correlation) {
         return context.requests.find(correlation);
     }
 
     /**
-     * Accepts a request. Its ingress may be called before this returns.
+     * Accepts a request. The ingress may be called before this method returns.
      *
-     * @param correlation the name by which clients and targets know it
-     * @param jobClass    the place of its class in the settings
-     * @param budgetNs    how long its client still waits, in nanoseconds
-     * @param slots       how many slots of a target it takes
-     * @param memory      how much memory of a target it takes, in slots
-     * @param message     what the egress needs of it; the engine does not look inside
-     * @return the request, or null when one of that correlation is still open
+     * @param correlation the id by which clients and targets identify the request
+     * @param jobClass    index of the request's class in the settings
+     * @param budgetNs    how long the client still waits for the answer, in nanoseconds
+     * @param slots       how many slots of a target the request needs
+     * @param memory      how much memory of a target the request needs, in slots
+     * @param message     data for the egress, which the engine does not read
+     * @return the request, or null if a request with that correlation id is still open
      */
     public Request submit(
             String correlation,
@@ -101,21 +101,25 @@
     }
 
     /**
-     * Accepts a request of which the front end knows more. Its ingress may be called before this returns.
+     * Accepts a request that the front end describes by a {@link Job}. The ingress may be called before this method
+     * returns.
      *
-     * @param job what is known of it; its id is not used, the engine gives one
-     * @return the request, or null when one of that correlation is still open
+     * @param job the request's properties; the engine ignores the job's id and assigns one of its own
+     * @return the request, or null if a request with that correlation id is still open
      */
     public Request submit(String correlation, Job job, Object message, Ingress ingress) {
         return requests.submit(correlation, job, message, ingress);
     }
 
-    /** Sets the gate to ask before anything is sent, for hosts whose route table is not always current. */
+    /** Sets the gate that is checked before anything is sent, for hosts whose route table is not always current. */
     public void useSendGate(SendGate gate) {
         context.useSendGate(gate);
     }
 
-    /** The gate has opened: what waited for it goes on, unless it has closed again meanwhile. */
+    /**
+     * Resumes the requests, attempts and health checks that were deferred by the send gate. A host calls this when the
+     * gate has opened; no effect if the gate has closed again.
+     */
     public void resumeDeferred() {
         if (!context.deferredWork.isEmpty() && context.sendGate().open()) {
             context.events.submit(() -> context.deferredWork.release(
@@ -124,69 +128,71 @@
     }
 
     /**
-     * The process ends: whatever is accepted from now on is answered by that time of the clock, in nanoseconds,
-     * whatever its client's budget. The dispatcher is not told, since to it a short budget may mean a client's
-     * retry.
+     * Prepares for the end of the process: each request accepted from now on gets its final answer by the given time of
+     * the clock, in nanoseconds, even if its client's budget is longer. The dispatcher still gets the client's budget,
+     * because it may take a shortened budget for a retry by the client.
      */
     public void answerAllBy(long at) {
         requests.answerAllBy(at);
     }
 
-    /** The client has gone: nobody waits for an answer. No effect where the answer has been given. */
+    /** Reports that the client has disconnected and needs no answer. No effect after the final answer. */
     public void clientDisconnected(Request request) {
         requests.clientDisconnected(request);
     }
 
     /**
-     * Asked by an egress just before an attempt's first byte, since much may have changed while the attempt waited
-     * for a connection: its end was decided, its client has gone, its target drains, or the time in which the
-     * request may be retried is over.
+     * Checks whether an attempt may still be sent. An egress calls this just before the attempt's first byte, because
+     * while the attempt waited for a connection it may have ended, its client may have disconnected, its target may
+     * have begun to drain, or the time within which the request may be retried may have passed.
      *
-     * @return whether it may go. Where it must not go any more its end is told; where the gate is closed it is given
-     *     to the egress once more when it opens
+     * @return true if the attempt may be sent. If false, an attempt that must not be sent any more has ended; an
+     *     attempt that meets a closed send gate is passed to the egress again when the gate opens
      */
     public boolean tryBegin(Attempt attempt) {
         return attempts.tryBegin(attempt);
     }
 
-    /** The target reports that the attempt runs. */
+    /** Reports that the target has started to run the attempt. */
     public void attemptStarted(Attempt attempt) {
         attempts.started(attempt);
     }
 
-    /** The target reports how much of the attempt is done, from 0 to 1. */
+    /** Reports the attempt's progress as given by the target; {@code done} is from 0 to 1. */
     public void attemptProgressed(Attempt attempt, double done) {
         attempts.progressed(attempt, done);
     }
 
     /**
-     * The attempt has ended; the first that was served answers the client. No effect where it had ended before.
+     * Reports that the attempt has ended. The first attempt with outcome {@link Outcome#SERVED} answers the client. No
+     * effect if the attempt has ended before.
      *
-     * @param result what the client gets; used with {@link Outcome#SERVED} only
-     * @param load   the target's load report, or null when none came along
+     * @param result the client's result; used only with {@link Outcome#SERVED}
+     * @param load   the target's load report, or null if the target sent none
      */
     public void attemptEnded(Attempt attempt, Outcome outcome, byte[] result, LoadReport load) {
         attempts.ended(attempt, outcome, result, load);
     }
 
-    /** A health check has been answered or has failed; {@code load} is null when no load report came along. */
+    /** Reports that a health check was answered or failed; {@code load} is null if it brought no load report. */
     public void healthCheckCompleted(long target, boolean answered, LoadReport load) {
         EngineTrace.healthCheckCompleted(target, answered, load);
         context.events.submit(() -> context.dispatcher().healthCheckCompleted(now(), target, answered, load));
     }
 
-    /** Discovery reports a list or changes. The route table holds them when this returns. */
+    /** Applies an endpoint list, or changes to it, from discovery. The route table contains them on return. */
     public void updateEndpoints(EndpointUpdate update, List<WorkerEndpoint> entries) {
-        // At once, not queued: an attempt about to be written must see the newest table.
+        // The table is updated here and not in a queued event: an attempt about to be written must see the update.
         List<WorkerEndpoint> effective = context.routes.apply(update, entries);
         EngineTrace.endpointsUpdated(update, now(), effective);
         context.events.submit(() -> context.dispatcher().endpointsUpdated(now(), update, effective));
     }
 
     /**
-     * An operator takes a target out of service, or returns it. It holds when this returns.
+     * Takes a target out of service for maintenance, or returns it to service. The route table reflects this on
+     * return.
      *
-     * @param returnedAtNs since when it is back, by the clock; used for a return only
+     * @param returnedAtNs when the target returned to service, by the clock; used only for a return
      */
     public void setMaintenance(long target, boolean inMaintenance, long returnedAtNs) {
         WorkerEndpoint entry = context.routes.setMaintenance(target, inMaintenance, returnedAtNs);
@@ -196,12 +202,12 @@
         }
     }
 
-    /** What the dispatcher has learned, for the next process; this one warms up no targets for a while after it. */
+    /** Exports the dispatcher's learned state to the next process; this one then starts no warm-ups for a while. */
     public LearnedState exportLearnedState() {
         return context.dispatcher().exportLearnedState(now());
     }
 
-    /** Takes over what the dispatcher of an older process has learned. */
+    /** Imports the learned state of a predecessor process's dispatcher. */
     public void importLearnedState(LearnedState learned) {
         context.events.submit(() -> context.dispatcher().importLearnedState(now(), learned));
     }
--- a/src/main/java/beechseam/core/EngineActions.java
+++ b/src/main/java/beechseam/core/EngineActions.java
@@ -4,7 +4,7 @@
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 
-/** Does what the dispatcher decides. Called within the dispatcher's events only, and from its constructor. */
+/** Carries out the dispatcher's decisions. Called only within the dispatcher's events and from its constructor. */
 final class EngineActions implements DispatchActions {
     private static final Logger LOG = System.getLogger(Engine.class.getName());
 
@@ -72,7 +72,7 @@
 
     @Override
     public void watchEndpoints() {
-        // A node watches discovery all the time, asked or not.
+        // Nothing to do: a node watches discovery all the time.
     }
 
     @Override
--- a/src/main/java/beechseam/core/EngineContext.java
+++ b/src/main/java/beechseam/core/EngineContext.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the parts of one engine share. The dispatcher is the last to be set, as it acts from its constructor on and
- * needs the parts for that.
+ * The state that the parts of one engine share. The dispatcher is set last, because its constructor already calls its
+ * actions, which need the other parts.
  */
 final class EngineContext {
     final Timers timers;
@@ -34,7 +34,7 @@
         requests = new RequestTable(timers);
     }
 
-    /** Creates the dispatcher; what its constructor brings about waits for the first event. */
+    /** Creates the dispatcher. Events raised by its constructor are queued and run after the first submitted event. */
     void createDispatcher(DispatchSettings settings, long seed, DispatchActions actions) {
         dispatcher = events.createWithEventsQueued(() -> new Dispatcher(now(), settings, seed, actions));
     }
--- a/src/main/java/beechseam/core/EngineTrace.java
+++ b/src/main/java/beechseam/core/EngineTrace.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * The engine's events at level trace, a line each, from which a fleet's behaviour is reconstructed. Each event has a
- * method of its own with typed parameters, so that nothing is boxed or formatted while the level is off.
+ * Logs the engine's events at level TRACE, one line per event. A fleet's behaviour is reconstructed from these lines.
+ * Each event has its own method with typed parameters, so that nothing is boxed or formatted while the level is off.
  */
 final class EngineTrace {
     private static final Logger LOG = System.getLogger(Engine.class.getName());
--- a/src/main/java/beechseam/core/EventQueue.java
+++ b/src/main/java/beechseam/core/EventQueue.java
@@ -6,9 +6,9 @@
 import java.util.function.Supplier;
 
 /**
- * Runs the engine's events one after the other. The dispatcher must never be entered while it acts, yet an action may
- * bring about an event at once, as a refused connect does within the send. Such an event is queued and runs, in order
- * of arrival, when the one that caused it is done.
+ * Runs the engine's events one after another. The dispatcher must not be re-entered while it acts, but an action may
+ * raise an event immediately: a refused connect, for example, is reported within the send. Such an event is queued and
+ * runs, in order of arrival, after the event that raised it.
  */
 final class EventQueue {
     private static final Logger LOG = System.getLogger(Engine.class.getName());
@@ -22,8 +22,9 @@
     }
 
     /**
-     * Runs the event now, and after it all that it brings about; within another event it is queued instead. An
-     * exception that an event throws is counted and logged, since one request's fault must not stop the others.
+     * Runs the event now, followed by all events that it raises; if called within another event, queues the event
+     * instead. An exception thrown by an event is counted and logged, because a fault in one request must not stop the
+     * others.
      */
     void submit(Runnable event) {
         if (running) {
@@ -49,7 +50,7 @@
         }
     }
 
-    /** Creates a value while events are only queued; those brought about meanwhile run after the next one submitted. */
+    /** Creates a value; events submitted meanwhile are queued and run after the next event that is submitted. */
     <T> T createWithEventsQueued(Supplier<T> factory) {
         running = true;
         T created = factory.get();
--- a/src/main/java/beechseam/core/Ingress.java
+++ b/src/main/java/beechseam/core/Ingress.java
@@ -1,23 +1,27 @@
 package beechseam.core;
 
 /**
- * A front end's side of a request. It gets exactly one of {@link #served}, {@link #shed} and {@link #failed}, once,
- * unless it reports first that its client has gone.
+ * The front end of a request, which delivers its final answer to the client. For each request the engine calls exactly
+ * one of {@link #served}, {@link #shed} and {@link #failed}, once, or none of them if the front end has reported before
+ * that the client disconnected.
  */
 public interface Ingress {
-    /** The final answer: the result that a target gave, as the egress handed it to the engine. */
+    /** Delivers the final answer: the target's result, as the egress passed it to the engine. */
     void served(Request request, byte[] result);
 
-    /** The final answer: not done, and harmless to retry after so many nanoseconds (0: no advice). */
+    /**
+     * Delivers the final answer that the request was not executed and may safely be retried after {@code retryAfterNs}
+     * nanoseconds (0: no advice).
+     */
     void shed(Request request, long retryAfterNs);
 
-    /** The final answer: given up, with no promise about its effect; the reason is text for people. */
+    /** Delivers the final answer that the request failed and may have taken effect; the reason is for humans. */
     void failed(Request request, String reason);
 
     /**
-     * Whether the client still waits, as far as can be told at this instant: asked before an attempt's first
-     * byte, since a client may have gone unnoticed in the turn in which the attempt is sent. One that has
-     * gone may be reported to {@link Engine#clientDisconnected} within the call.
+     * Whether the client is still connected, as far as can be determined now. The engine checks this before an
+     * attempt's first byte, because a client may have disconnected within the same turn of the event loop without being
+     * noticed yet. An implementation may call {@link Engine#clientDisconnected} from within this method.
      */
     default boolean isClientConnected(Request request) {
         return true;
--- a/src/main/java/beechseam/core/Request.java
+++ b/src/main/java/beechseam/core/Request.java
@@ -3,29 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A job that a front end has accepted, until its final answer is given and its attempts have ended. */
+/** A request that a front end has accepted; it is open until it has its final answer and its attempts have ended. */
 public final class Request {
-    /** The name by which clients and targets know it. */
+    /** The correlation id by which clients and targets identify the request. */
     public final String correlation;
 
-    /** The place of its class in the settings. */
+    /** Index of the request's class in the settings. */
     public final int jobClass;
 
-    /** When the client gives up, by the host's clock, in nanoseconds. */
+    /** The client's deadline, on the host's clock, in nanoseconds. */
     public final long deadlineAt;
 
-    /** What the front end passes on to the egress, or null; the core does not look inside. */
+    /** Data that the front end passes to the egress, or null; the engine does not read it. */
     public final Object message;
 
     final Ingress ingress;
     final long id;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Fires when the request must have its final answer. */
+    /** Fires at the latest time for the final answer. */
     Timer deadline;
 
     int attemptsInFlight;
     boolean finished;
-    /** It waits for the send gate, and the dispatcher does not know of it. */
+    /** Whether the request waits for the send gate; the dispatcher has not received it then. */
     boolean deferred;
 
     Request(long id, String correlation, int jobClass, long deadlineAt, Object message, Ingress ingress) {
@@ -37,12 +37,12 @@
         this.ingress = ingress;
     }
 
-    /** Whether it has its final answer, or needs none as its client has gone. */
+    /** Whether the request has its final answer, or needs none because its client has disconnected. */
     public boolean finished() {
         return finished;
     }
 
-    /** The latest attempt at the target that has not ended, or null. */
+    /** The latest attempt on the target that has not ended, or null. */
     public Attempt attemptAt(long target) {
         for (int i = attempts.size() - 1; i >= 0; i--) {
             Attempt attempt = attempts.get(i);
--- a/src/main/java/beechseam/core/RequestLifecycle.java
+++ b/src/main/java/beechseam/core/RequestLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Requests from their acceptance to their final answer, of which each gets exactly one: by its result, shed, failed,
- * or at its deadline.
+ * Handles requests from acceptance to the final answer. Each request gets exactly one final answer: the result of an
+ * attempt, shed, or failed, at its deadline at the latest.
  */
 final class RequestLifecycle {
     private final EngineContext context;
@@ -38,7 +38,7 @@
     }
 
     private void setDeadline(Request request, long budgetNs) {
-        // With little time in hand half of it is kept for the answer's way.
+        // A budget shorter than twice the margin reserves only half of itself for sending the answer.
         long answerBy = request.deadlineAt - Math.min(Engine.ANSWER_MARGIN_NS, budgetNs / 2);
         boolean stopping = lastAnswerAt < answerBy;
         request.deadline = Timer.running(() -> context.events.submit(() -> expire(request, stopping)));
@@ -59,7 +59,7 @@
                                 job.firstAttempt())));
     }
 
-    /** Offers a request that has waited for the send gate, with the time that it has left. */
+    /** Offers a request that was deferred by the send gate to the dispatcher, with its remaining budget. */
     void offerDeferred(Request request, Job job) {
         offer(request, job, request.deadlineAt - context.now());
     }
@@ -79,9 +79,9 @@
         });
     }
 
-    /** The deadline; {@code stopping}: it is the one that {@link #answerAllBy} sets, and not the client's. */
+    /** Ends the request at its deadline; {@code stopping}: set by {@link #answerAllBy} and not by the client. */
     private void expire(Request request, boolean stopping) {
-        if (!stopping) { // told of the end of an attempt while stopping, the dispatcher would send another
+        if (!stopping) { // while stopping, the dispatcher would replace each attempt that ends by another
             for (Attempt attempt : List.copyOf(request.attempts)) {
                 attempts.timeOut(attempt);
             }
@@ -96,9 +96,9 @@
                     context.limits.retryAfter() ? Math.min(context.sendGate().opensWithinNs(), maxRetryAfterNs) : 0);
             return;
         }
-        // The dispatcher would still wait, but the client does not.
+        // The dispatcher may still want to wait, but the time for an answer is over.
         if (request.attempts.stream().noneMatch(attempt -> attempt.begun)) {
-            shed(request, maxRetryAfterNs); // harmless: nothing was ever sent
+            shed(request, maxRetryAfterNs); // safe to retry: nothing was ever sent
         } else {
             answerFailed(request, stopping ? "the node is stopping" : "no answer in time");
         }
@@ -106,7 +106,7 @@
         context.requests.removeIfSettled(request);
     }
 
-    /** The final answer: not done, and harmless to retry after so many nanoseconds (0: no advice). */
+    /** Answers that the request was not executed and may safely be retried after that time (0: no advice). */
     void shed(Request request, long retryAfterNs) {
         context.counters.of(request.jobClass).recordShed();
         EngineTrace.requestShed(request.id, retryAfterNs);
@@ -115,7 +115,7 @@
         context.requests.removeIfSettled(request);
     }
 
-    /** The final answer that the dispatcher decides on: failed, with no promise about its effect. */
+    /** Answers, by the dispatcher's decision, that the request failed; it may have taken effect. */
     void fail(Request request) {
         EngineTrace.requestFailed(request.id);
         answerFailed(request, "it could not be done");
--- a/src/main/java/beechseam/core/RequestTable.java
+++ b/src/main/java/beechseam/core/RequestTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The open requests, by id and by correlation. A request leaves it when it has its final answer and no attempt of it
- * is in flight: until then its correlation is not free for another.
+ * The open requests, by id and by correlation id. A request is removed when it has its final answer and none of its
+ * attempts is in flight; until then no other request can use its correlation id.
  */
 final class RequestTable {
     private final Map<Long, Request> byId = new HashMap<>();
@@ -21,17 +21,17 @@
         byCorrelation.put(request.correlation, request);
     }
 
-    /** The open request of that correlation, or null. */
+    /** The open request with that correlation id, or null. */
     Request find(String correlation) {
         return byCorrelation.get(correlation);
     }
 
-    /** The open request of that id, or null. */
+    /** The open request with that id, or null. */
     Request find(long id) {
         return byId.get(id);
     }
 
-    /** The open request of that id that still owes its final answer, or null. */
+    /** The open request with that id, or null if there is none or it has its final answer. */
     Request findUnfinished(long id) {
         Request request = byId.get(id);
         return request == null || request.finished ? null : request;
@@ -41,13 +41,13 @@
         return byId.size();
     }
 
-    /** The request gets its final answer now, or needs none any more. */
+    /** Marks a request that gets its final answer now, or needs none any more, and cancels its deadline. */
     void finish(Request request) {
         request.finished = true;
         timers.cancel(request.deadline);
     }
 
-    /** Removes the request unless it owes an answer or has an attempt in flight. */
+    /** Removes the request unless it has no final answer yet or has an attempt in flight. */
     void removeIfSettled(Request request) {
         if (request.finished && request.attemptsInFlight == 0) {
             byId.remove(request.id);
--- a/src/main/java/beechseam/core/RouteTable.java
+++ b/src/main/java/beechseam/core/RouteTable.java
@@ -10,17 +10,21 @@
 import java.util.Set;
 
 /**
- * The targets as discovery last listed them, with the maintenance that operators have set as an overlay. A target in
- * maintenance is effectively draining whatever discovery lists. One that has returned is effectively started at its
- * return, or later where discovery says so: it may have restarted before discovery reports it, and it warms up by
- * use.
+ * The targets as discovery last listed them, overlaid with the maintenance that operators have set. A target in
+ * maintenance counts as draining whatever discovery lists. A target that has returned from maintenance counts as
+ * started at its return, or at the start time that discovery lists if that is later: it may have restarted before
+ * discovery reports the restart, and it warms up only by use.
  */
 public final class RouteTable {
     private final Map<Long, WorkerEndpoint> entries = new HashMap<>();
     private final Set<Long> inMaintenance = new HashSet<>();
     private final Map<Long, Long> returnedAtNs = new HashMap<>();
 
-    /** Applies an update, of which a full one removes what it lacks; the changed entries as they are in effect. */
+    /**
+     * Applies an update; a full list also removes the targets that it lacks.
+     *
+     * @return the changed entries with maintenance applied
+     */
     List<WorkerEndpoint> apply(EndpointUpdate update, List<WorkerEndpoint> changes) {
         if (update == EndpointUpdate.SNAPSHOT || update == EndpointUpdate.CACHED) {
             Set<Long> listedIds = new HashSet<>();
@@ -38,8 +42,9 @@
     }
 
     /**
-     * Sets maintenance of a target, listed or not; its entry as it is in effect from now on, or null when not
-     * listed.
+     * Sets or clears maintenance of a target, listed or not.
+     *
+     * @return the target's entry with maintenance applied, or null if it is not listed
      */
     WorkerEndpoint setMaintenance(long target, boolean maintenance, long returnedNs) {
         if (maintenance) {
@@ -63,8 +68,8 @@
     }
 
     /**
-     * Whether new work may go to the target: it is listed, ready and not in maintenance. Asked again just before an
-     * attempt's first byte.
+     * Whether new work may be sent to the target: it is listed, ready and not in maintenance. The engine checks this
+     * again just before an attempt's first byte.
      */
     public boolean acceptsNewWork(long target) {
         WorkerEndpoint entry = entries.get(target);
@@ -76,17 +81,17 @@
         return entries.containsKey(target);
     }
 
-    /** The entry as discovery last listed it, maintenance left aside, or null when it is not listed. */
+    /** The entry as discovery last listed it, without maintenance applied, or null if it is not listed. */
     public WorkerEndpoint listed(long target) {
         return entries.get(target);
     }
 
-    /** The ids of all listed targets; a view. */
+    /** A live view of the ids of all listed targets. */
     Set<Long> ids() {
         return entries.keySet();
     }
 
-    /** How many targets are listed, whatever their state. */
+    /** The number of listed targets, whatever their state. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/beechseam/core/SendGate.java
+++ b/src/main/java/beechseam/core/SendGate.java
@@ -1,8 +1,9 @@
 package beechseam.core;
 
 /**
- * Whether the route table may be acted on. The engine asks before it offers a request to the module and
- * before an attempt's first byte; what may not go yet waits until {@link Engine#resumeDeferred}.
+ * Decides whether the route table is current enough to send by it. The engine checks the gate before it offers a
+ * request to the dispatcher, before it passes an attempt or a health check to the egress, and before an attempt's first
+ * byte. While the gate is closed, this work is deferred until {@link Engine#resumeDeferred}.
  */
 public interface SendGate {
     /** The gate of hosts whose route table is always current. */
@@ -21,6 +22,6 @@
     /** Whether requests may be sent now. May first apply pending updates of the route table to the engine. */
     boolean open();
 
-    /** How long until it opens at the latest, as far as is known, in nanoseconds; 0 where it is open. */
+    /** The longest time until the gate opens, as far as is known, in nanoseconds; 0 if it is open. */
     long opensWithinNs();
 }
--- a/src/main/java/beechseam/core/Timer.java
+++ b/src/main/java/beechseam/core/Timer.java
@@ -1,9 +1,9 @@
 package beechseam.core;
 
 /**
- * An action at a time of the clock. It is its own handle: {@link Timers} arms and cancels it, and it can be armed
- * again once it has fired. Timers are ordered by their time, and those of one time by the order in which they were
- * set.
+ * An action that runs at a given time of the clock. The timer is its own handle: {@link Timers} arms and cancels it,
+ * and it can be armed again after it has fired. Timers are ordered by due time, and those with the same due time by the
+ * order in which they were set.
  */
 public abstract class Timer implements Comparable<Timer> {
     private long due;
@@ -20,29 +20,29 @@
         };
     }
 
-    /** What to do at its time. The timer is no longer armed by then. */
+    /** Performs the timer's action. The timer is already disarmed when this is called. */
     protected abstract void fire();
 
-    /** Fires it; called by the loop that finds it due. */
+    /** Fires the timer; called by the event loop when the timer is due. */
     public final void run() {
         fire();
     }
 
-    /** The time it was last armed for, by the clock, in nanoseconds. */
+    /** The time for which the timer was last armed, on the clock, in nanoseconds. */
     public final long due() {
         return due;
     }
 
-    /** Whether it has been armed and has neither fired nor been cancelled since. */
+    /** Whether the timer has been armed and has neither fired nor been cancelled since. */
     public final boolean armed() {
         return armed;
     }
 
     /**
-     * Arms it; called by the queue that holds it.
+     * Arms the timer; called by the queue that contains it.
      *
-     * @param at       its time, by the clock, in nanoseconds
-     * @param sequence a number that no other timer of the queue has, which orders those of one time
+     * @param at       the due time, on the clock, in nanoseconds
+     * @param sequence a number that is unique in the queue and orders timers with the same due time
      */
     public final void arm(long at, long sequence) {
         due = at;
@@ -50,7 +50,7 @@
         armed = true;
     }
 
-    /** Disarms it; called by the queue that no longer holds it. */
+    /** Disarms the timer; called by the queue that no longer contains it. */
     public final void disarm() {
         armed = false;
     }
