--- a/src/main/java/beechseam/sim/Adapter.java
+++ b/src/main/java/beechseam/sim/Adapter.java
@@ -16,7 +16,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's wire on a pair of streams and hosts any number of instances; it decides nothing. */
+/**
+ * Connects dispatchers to the simulator over a pair of streams: translates the simulator's messages into dispatcher
+ * events, and the dispatchers' actions into replies. It runs any number of dispatcher instances and makes no dispatch
+ * decisions itself.
+ */
 public final class Adapter {
     private static final EndpointUpdate[] UPDATES_BY_FORM = {
         EndpointUpdate.DELTA, EndpointUpdate.SNAPSHOT, EndpointUpdate.CACHED, EndpointUpdate.FAILED
@@ -28,39 +32,43 @@
     private final EndpointTables tables = new EndpointTables();
     private long now;
 
-    /** One instance of the module with what the wire needs to know of it. */
+    /** One dispatcher instance, with the options that are needed to translate its messages. */
     private record Instance(Dispatcher dispatcher, ModuleOptions options) {}
 
-    /** Reads messages from {@code in} and writes actions to {@code out}. */
+    /** Creates an adapter that reads messages from {@code in} and writes actions to {@code out}. */
     public Adapter(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.in = factory.createParser(in);
         this.replies = new Replies(factory.createGenerator(out));
     }
 
-    /** Runs on standard input and output; exits with status 2 on malformed input. */
+    /** Runs the adapter on standard input and output; exits with status 2 on malformed input. */
     public static void main(String[] args) {
         try {
             new Adapter(System.in, new java.io.FileOutputStream(java.io.FileDescriptor.out)).run();
         } catch (JsonProcessingException e) {
-            end("malformed input at line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
+            exitWithError("malformed input at line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
         } catch (IOException e) {
-            end("malformed input: " + e.getMessage());
+            exitWithError("malformed input: " + e.getMessage());
         }
     }
 
-    private static void end(String message) {
+    private static void exitWithError(String message) {
         System.err.println("beechseam: " + message.replace('\n', ' '));
         System.exit(2);
     }
 
-    /** Reads until the end of input; malformed input is an {@link IOException} that says what is wrong. */
+    /**
+     * Reads and handles messages until the end of input.
+     *
+     * @throws IOException if the input is malformed or cannot be read; its message describes the fault
+     */
     public void run() throws IOException {
         while (in.nextToken() != null) {
             expect(in, JsonToken.START_OBJECT);
             String name = in.nextFieldName();
             if (name == null) {
-                throw new IOException("a message without a name");
+                throw new IOException("a message has no name");
             }
             in.nextToken();
             expect(in, JsonToken.START_OBJECT);
@@ -103,7 +111,7 @@
 
     private void createInstance(Message message) throws IOException {
         if (message.options == null) {
-            throw new IOException("Born without Options");
+            throw new IOException("message Born has no field Options");
         }
         ModuleOptions options = ModuleOptions.of(message.options);
         Dispatcher dispatcher =
@@ -140,14 +148,14 @@
                         instance.options.load(message.loadValues, message.loadValueCount));
             case "Lapsed" -> dispatcher.clientDisconnected(now, message.jobId);
             case "Alarm" -> dispatcher.timerFired(now, message.tag);
-            default -> {} // unknown events and messages of peers, which the module does not use
+            default -> {} // unknown events, and messages between peers, which the dispatcher does not use
         }
     }
 
     private void endpointsUpdated(Dispatcher dispatcher, Message message) throws IOException {
         int form = message.updateForm;
         if (form < 0 || form >= UPDATES_BY_FORM.length || !tables.has(message.bank)) {
-            throw new IOException("unknown list form or bank");
+            throw new IOException("message Topology has an unknown Form or Bank");
         }
         EndpointUpdate update = UPDATES_BY_FORM[form];
         dispatcher.endpointsUpdated(
@@ -165,8 +173,8 @@
                 options.marksRetries && !message.retry);
     }
 
-    private static Outcome outcome(String how) {
-        return switch (how == null ? "" : how) {
+    private static Outcome outcome(String name) {
+        return switch (name == null ? "" : name) {
             case "served" -> Outcome.SERVED;
             case "turned_away" -> Outcome.REJECTED;
             case "no_answer" -> Outcome.TIMEOUT;
@@ -174,7 +182,7 @@
             case "connection_lost" -> Outcome.LOST;
             case "called_off" -> Outcome.CANCELLED;
             case "not_sent" -> Outcome.NOT_SENT;
-            default -> Outcome.ERROR; // server_error, and anything unknown: it may have run
+            default -> Outcome.ERROR; // server_error or an unknown name: the attempt may have run
         };
     }
 }
--- a/src/main/java/beechseam/sim/EndpointTables.java
+++ b/src/main/java/beechseam/sim/EndpointTables.java
@@ -8,29 +8,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The numbered endpoint lists that the simulator sends once and then refers to. */
+/** The endpoint lists that the simulator sends once and then refers to by number. */
 final class EndpointTables {
-    private static final int COUNT = 16;
+    private static final int TABLE_COUNT = 16;
 
     private final List<List<WorkerEndpoint>> tables = new ArrayList<>();
 
     EndpointTables() {
-        for (int i = 0; i < COUNT; i++) {
+        for (int i = 0; i < TABLE_COUNT; i++) {
             tables.add(List.of());
         }
     }
 
-    /** Whether there is a list of that number. */
+    /** Whether {@code number} is a valid list number. */
     boolean has(int number) {
-        return number >= 0 && number < COUNT;
+        return number >= 0 && number < TABLE_COUNT;
     }
 
-    /** The list as last sent; empty before. */
+    /** The list with that number as last sent, or an empty list if none was sent. */
     List<WorkerEndpoint> get(int number) {
         return tables.get(number);
     }
 
-    /** Takes in the message that the parser stands at the start of. */
+    /** Reads a list from the message at whose first token the parser is positioned, and stores it. */
     void read(JsonParser in) throws IOException {
         int number = 0;
         List<WorkerEndpoint> entries = new ArrayList<>();
@@ -50,7 +50,7 @@
         }
         Adapter.expect(in, JsonToken.END_OBJECT);
         if (!has(number)) {
-            throw new IOException("list number " + number);
+            throw new IOException("list number is out of range: " + number);
         }
         tables.set(number, entries);
     }
--- a/src/main/java/beechseam/sim/Message.java
+++ b/src/main/java/beechseam/sim/Message.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The fields of one message of the simulator's wire, in the dispatcher's terms; the wire's own names stand as cases of
- * {@link #field}. Fields may come in any order, and absent ones keep the wire's defaults.
+ * The fields of one message from the simulator, named in the dispatcher's terms; {@link #readField} maps the protocol's
+ * field names to them. Fields may come in any order, and absent fields keep the protocol's defaults.
  */
 final class Message {
     private static final int MAX_LOAD_VALUES = 8;
@@ -38,22 +38,22 @@
 
     private Message() {}
 
-    /** Reads the object that the parser stands at the start of. */
+    /** Reads the object at whose first token the parser is positioned. */
     static Message read(JsonParser in) throws IOException {
         Message message = new Message();
         String field;
         while ((field = in.nextFieldName()) != null) {
             if (in.nextToken() != JsonToken.VALUE_NULL) {
-                message.field(field, in);
+                message.readField(field, in);
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new IOException("an object that does not end");
+            throw new IOException("a message object is not closed");
         }
         return message;
     }
 
-    private void field(String name, JsonParser in) throws IOException {
+    private void readField(String name, JsonParser in) throws IOException {
         switch (name) {
             case "SimTimeNs" -> simTimeNs = in.getLongValue();
             case "Who" -> instanceId = in.getIntValue();
@@ -82,7 +82,7 @@
 
     private void readLoadValues(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new IOException("a load report that is no array");
+            throw new IOException("the load report in field Gauge is not an array");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (loadValueCount < MAX_LOAD_VALUES) {
--- a/src/main/java/beechseam/sim/Replies.java
+++ b/src/main/java/beechseam/sim/Replies.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes actions as messages of the simulator's wire, a line each; the wire's names stand beside the dispatcher's. */
+/** Writes the dispatchers' actions as messages of the simulator's protocol, one line each. */
 final class Replies {
     private final JsonGenerator generator;
 
@@ -13,13 +13,13 @@
         this.generator = generator.setRootValueSeparator(null);
     }
 
-    /** Ends a batch and sends the reply. */
+    /** Ends the reply to a batch of messages and flushes it. */
     void yield() throws IOException {
         generator.writeRaw("{\"Yield\":{}}\n");
         generator.flush();
     }
 
-    /** Says that an event of this instance ended with an exception, and where. */
+    /** Reports that an event of this instance threw an exception, with the place where it was thrown. */
     void bug(int instanceId, RuntimeException e) throws IOException {
         StackTraceElement[] trace = e.getStackTrace();
         new Line("Bug", instanceId)
@@ -27,7 +27,7 @@
                 .end();
     }
 
-    /** What the dispatcher of that instance does, as messages. */
+    /** The actions of that instance's dispatcher, each of which writes a message. */
     DispatchActions forInstance(int instanceId) {
         return new InstanceActions(instanceId);
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /** One message under way. A write that fails ends the process: there is nobody left to answer to. */
+    /** One message that is being written. A failed write ends the process, because no reader of the replies is left. */
     private final class Line {
         Line(String name, int instanceId) {
             write(() -> {
@@ -123,9 +123,9 @@
             });
         }
 
-        private Line write(Writing writing) {
+        private Line write(WriteAction action) {
             try {
-                writing.run();
+                action.run();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -133,7 +133,7 @@
         }
     }
 
-    private interface Writing {
+    private interface WriteAction {
         void run() throws IOException;
     }
 }
--- a/src/main/java/beechseam/sim/package-info.java
+++ b/src/main/java/beechseam/sim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter that runs the decision module on the simulator's wire, one line of JSON after the other on
- * standard input and output.
+ * The adapter that runs the dispatcher under the simulator. They exchange messages as lines of JSON on standard input
+ * and output.
  */
 package beechseam.sim;
