--- a/src/test/java/beechseam/Loopback.java
+++ b/src/test/java/beechseam/Loopback.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** Test fixture of all socket tests: an event loop driven by the test, with clients and servers on loopback. */
+/** Fixture of the socket tests: an event loop that the test drives, with clients and servers on loopback. */
 public final class Loopback implements AutoCloseable {
     private static final long WAIT_LIMIT_NS = 20_000_000_000L;
 
@@ -33,16 +33,19 @@
         return new InetSocketAddress("127.0.0.1", 0);
     }
 
-    /** Turns the loop until the condition holds, or fails after far longer than any machine needs. */
-    public void until(String what, BooleanSupplier holds) {
+    /**
+     * Runs the loop until the condition holds. Fails after a time limit that is far longer than any machine needs; the
+     * failure names {@code awaited}.
+     */
+    public void until(String awaited, BooleanSupplier condition) {
         long end = System.nanoTime() + WAIT_LIMIT_NS;
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "in vain: " + what);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, "timed out waiting for: " + awaited);
             turn();
         }
     }
 
-    /** Turns the loop for this many ms, in which nothing more is expected. */
+    /** Runs the loop for this many milliseconds, in which the test expects no further event. */
     public void settle(long ms) {
         for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end; ) {
             turn();
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Listens on a free port; each connection accepted is added to the list. */
+    /** Listens on a free port, adds each accepted connection to the list, and returns the address. */
     public InetSocketAddress listen(List<Peer> peers) {
         try {
             Listener listener = new Listener(loop, anyPort(), channel -> peers.add(peer(channel)));
@@ -68,6 +71,7 @@
         }
     }
 
+    /** Opens a client connection to the address. */
     public Peer connect(InetSocketAddress to) {
         Peer peer = peer(null);
         peer.open(to);
@@ -112,7 +116,7 @@
 
         @Override
         protected long maxUnwrittenBytes() {
-            return 1L << 30; // a test server may send much
+            return 1L << 30; // test servers send large bodies
         }
 
         void open(InetSocketAddress to) {
@@ -124,18 +128,19 @@
             return this;
         }
 
+        /** All that has been received and not yet taken, as ISO 8859-1 text. */
         public String receivedText() {
             return received.toString();
         }
 
-        /** Removes and returns what has been received. */
+        /** Removes and returns all received text. */
         public String take() {
             String all = received.toString();
             received.setLength(0);
             return all;
         }
 
-        /** Puts back the unused rest of {@link #take}. */
+        /** Puts the unused rest of the text returned by {@link #take} back at the front. */
         public void unread(String rest) {
             received.insert(0, rest);
         }
--- a/src/test/java/beechseam/core/CountersTest.java
+++ b/src/test/java/beechseam/core/CountersTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class CountersTest {
-    private static Counters counted() {
+    private static Counters sampleCounters() {
         Counters counters = new Counters();
         counters.requestsAccepted = 100;
         counters.attemptsSent = 2;
@@ -29,7 +29,7 @@
         return counters;
     }
 
-    /** Operators and their tools read this line: keys, their order and form must not change. */
+    /** Operators and their tools parse this line: its keys, their order and the format must not change. */
     @Test
     void countersLineHasStableKeysAndOrder() {
         assertEquals(
@@ -38,14 +38,14 @@
                         + "\"withheld\":12,\"silent\":13,"
                         + "\"crowded_out\":14,\"faults\":15,\"hops\":{\"served\":1,\"error\":0,\"refused\":2,"
                         + "\"timeout\":0,\"unreachable\":0,\"lost\":0,\"cancelled\":0,\"not_sent\":0}}",
-                counted().toString());
-        assertEquals(88, counted().current());
+                sampleCounters().toString());
+        assertEquals(88, sampleCounters().current());
     }
 
     @Test
     void addSumsEveryCounterClassByClass() {
-        Counters sum = counted();
-        sum.add(counted());
+        Counters sum = sampleCounters();
+        sum.add(sampleCounters());
         assertEquals(
                 "{\"taken\":200,\"sent\":4,\"answered\":8,\"written\":8,\"served\":4,\"shed\":2,\"failed\":2,"
                         + "\"left\":16,\"probes\":2,\"late_callbacks\":20,\"bad_input\":22,"
--- a/src/test/java/beechseam/core/DeferredWorkTest.java
+++ b/src/test/java/beechseam/core/DeferredWorkTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void attemptsAreReleasedFirstThenRequestsThenOneHealthCheckATarget() {
+    void releaseOrderIsAttemptsThenRequestsThenOneHealthCheckPerTarget() {
         Request request = request("a");
         deferred.deferHealthCheck(7);
         deferred.deferRequest(request, new Job(0, 0, 1000, 0, 1, 0));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void workDeferredDuringReleaseWaitsForTheNext() {
+    void workDeferredDuringReleaseWaitsForNextRelease() {
         Attempt attempt = new Attempt(request("a"), 0, 7, null);
         deferred.deferAttempt(attempt);
         deferred.release((request, job) -> {}, deferred::deferAttempt, target -> {});
--- a/src/test/java/beechseam/core/EngineHarness.java
+++ b/src/test/java/beechseam/core/EngineHarness.java
@@ -20,14 +20,14 @@
 import java.util.Map;
 
 /**
- * An engine on a host whose clock, front end and egress the test moves by hand. It asserts what must hold at each call
- * of the engine.
+ * An engine whose clock, front end and egress are controlled by the test. The harness is the engine's egress and
+ * ingress, and asserts the engine's invariants at each call that it receives.
  */
 final class EngineHarness implements Egress, Ingress {
     static final long MS = 1_000_000L;
     static final long SECOND = 1000 * MS;
 
-    /** A gate that the test opens and closes. */
+    /** A send gate that the test opens and closes. */
     static final class TestGate implements SendGate {
         boolean open = true;
 
@@ -47,12 +47,12 @@
     final List<Attempt> inFlight = new ArrayList<>();
     final List<Request> accepted = new ArrayList<>();
     final Map<Request, String> answers = new HashMap<>();
-    final List<Long> healthChecked = new ArrayList<>();
+    final List<Long> healthCheckedTargets = new ArrayList<>();
     final TestGate gate = new TestGate();
     final Engine engine;
     long now = 1_700_000_000L * SECOND;
-    boolean failAtOnce;
-    boolean sending;
+    boolean failSendsImmediately;
+    boolean insideSend;
 
     EngineHarness(Idempotency idempotency) {
         this(idempotency, 400 * MS, 0);
@@ -122,15 +122,15 @@
 
     @Override
     public void send(Attempt attempt) {
-        assertTrue(gate.open, "sent though the gate is closed");
-        assertFalse(attempt.request.finished(), "sent after the final answer");
-        assertTrue(engine.routeTable().acceptsNewWork(attempt.target), "sent to a target that is not in service");
+        assertTrue(gate.open, "attempt sent while the send gate is closed");
+        assertFalse(attempt.request.finished(), "attempt sent after the request's final answer");
+        assertTrue(engine.routeTable().acceptsNewWork(attempt.target), "sent to a target that accepts no new work");
         assertNull(answers.get(attempt.request));
-        assertFalse(sending, "the dispatcher was entered while it acts");
-        if (failAtOnce) { // the way a refused connect on loopback reports itself
-            sending = true;
+        assertFalse(insideSend, "the dispatcher was re-entered while it acts");
+        if (failSendsImmediately) { // as a refused connect on loopback is reported
+            insideSend = true;
             engine.attemptEnded(attempt, Outcome.UNREACHABLE, null, null);
-            sending = false;
+            insideSend = false;
         } else {
             attempt.begun();
             inFlight.add(attempt);
@@ -139,33 +139,33 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        assertTrue(inFlight.remove(attempt), "cancelled an attempt that is not in flight");
+        assertTrue(inFlight.remove(attempt), "the cancelled attempt is not in flight");
     }
 
     @Override
     public void healthCheck(long target) {
-        assertTrue(gate.open, "health check though the gate is closed");
-        healthChecked.add(target);
+        assertTrue(gate.open, "health check sent while the send gate is closed");
+        healthCheckedTargets.add(target);
         engine.healthCheckCompleted(target, false, null);
     }
 
-    private void answer(Request request, String answer) {
-        assertTrue(now < request.deadlineAt, "too late for the client");
-        assertNull(answers.put(request, answer), "a second final answer");
+    private void recordAnswer(Request request, String answer) {
+        assertTrue(now < request.deadlineAt, "final answer after the client's deadline");
+        assertNull(answers.put(request, answer), "the request got a second final answer");
     }
 
     @Override
     public void served(Request request, byte[] result) {
-        answer(request, "served " + new String(result));
+        recordAnswer(request, "served " + new String(result));
     }
 
     @Override
     public void shed(Request request, long retryAfterNs) {
-        answer(request, "shed " + retryAfterNs);
+        recordAnswer(request, "shed " + retryAfterNs);
     }
 
     @Override
     public void failed(Request request, String reason) {
-        answer(request, "failed");
+        recordAnswer(request, "failed");
     }
 }
--- a/src/test/java/beechseam/core/EngineTest.java
+++ b/src/test/java/beechseam/core/EngineTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The engine between a front end and an egress that do anything at any time, against its invariants. */
+/** Tests the engine's invariants for front ends and egresses that report any event at any time. */
 class EngineTest {
     private static final long MS = EngineHarness.MS;
     private static final long SECOND = EngineHarness.SECOND;
@@ -35,7 +35,7 @@
             assertNotEquals(
                     disconnected.contains(request),
                     harness.answers.containsKey(request),
-                    "answered, or its client disconnected");
+                    "a request is answered unless its client disconnected");
         }
         assertEquals(0, harness.engine.openRequests(), "settled requests are removed");
         assertEquals(0, harness.counters.faults);
@@ -53,7 +53,7 @@
             case 0, 1 -> harness.submit("r" + random.nextInt(200));
             case 2 -> harness.advance(random.nextInt(300) * MS);
             case 3 -> harness.listTargets(1 + random.nextInt(3), EndpointState.values()[random.nextInt(2)]);
-            case 4 -> harness.failAtOnce = random.nextInt(4) == 0;
+            case 4 -> harness.failSendsImmediately = random.nextInt(4) == 0;
             case 5 -> {
                 if (!harness.accepted.isEmpty()) {
                     Request request = harness.accepted.get(random.nextInt(harness.accepted.size()));
@@ -76,25 +76,25 @@
                     Outcome outcome = outcomes[random.nextInt(outcomes.length)];
                     harness.engine.attemptEnded(
                             attempt, outcome, new byte[0], new LoadReport(1, 0, 3, Double.NaN, 0.2));
-                    harness.engine.attemptEnded(attempt, Outcome.SERVED, new byte[0], null); // reported twice: ignored
+                    harness.engine.attemptEnded(attempt, Outcome.SERVED, new byte[0], null); // ignored: ended before
                 }
             }
         }
     }
 
-    /** A connect refused within the send must not enter the dispatcher while it acts. */
+    /** A connect that is refused within the send must not re-enter the dispatcher while it acts. */
     @Test
     void attemptEndingWithinSendIsQueuedUntilDispatcherReturns() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
-        harness.failAtOnce = true;
+        harness.failSendsImmediately = true;
         Request request = harness.submit("a");
         harness.advance(4 * SECOND);
-        assertTrue(harness.answers.get(request).startsWith("shed"), "it never ran: a further try is harmless");
+        assertTrue(harness.answers.get(request).startsWith("shed"), "the request never ran, so it is safe to retry");
         assertEquals(0, harness.counters.faults);
         assertEquals(harness.counters.attemptsSent, harness.counters.ended(Outcome.UNREACHABLE));
     }
 
-    /** The dispatcher sends without a time-out: the host owes the end, in time for an answer. */
+    /** The dispatcher sets no time-out for this attempt, so the engine must end it in time for the final answer. */
     @Test
     void silentAttemptTimesOutBeforeClientDeadline() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
@@ -102,11 +102,11 @@
         harness.advance(4 * SECOND - 26 * MS);
         assertNull(harness.answers.get(request));
         harness.advance(2 * MS);
-        assertEquals("failed", harness.answers.get(request), "it may have run");
+        assertEquals("failed", harness.answers.get(request), "the request may have run");
         assertEquals(1, harness.counters.ended(Outcome.TIMEOUT));
     }
 
-    /** An attempt may wait for a connection until the time in which its request may be retried is over. */
+    /** An attempt may wait for a connection for so long that its request may no longer be retried. */
     @Test
     void retryDelayedPastIdempotencyWindowDoesNotBegin() {
         EngineHarness harness = new EngineHarness(Idempotency.KEYED);
@@ -121,17 +121,17 @@
         harness.engine.attemptEnded(first, Outcome.LOST, null, null);
         Attempt second = harness.inFlight.get(0);
         harness.advance(1840 * MS);
-        assertTrue(harness.engine.tryBegin(second), "the window is 2 s, less 150 ms between the clock and the write");
+        assertTrue(harness.engine.tryBegin(second), "window of 2 s, less 150 ms between the clock and the write");
         harness.advance(11 * MS);
         harness.inFlight.remove(second);
         assertFalse(harness.engine.tryBegin(second));
         assertTrue(second.hasEnded());
         harness.advance(4 * SECOND);
-        assertEquals("failed", harness.answers.get(request), "it may have run");
+        assertEquals("failed", harness.answers.get(request), "the request may have run");
         assertEquals(1, harness.counters.withheld);
     }
 
-    /** The window is that of retries: one that waits for long and retries nothing may begin. */
+    /** The idempotency window limits retries only: a first attempt may begin after it has passed. */
     @Test
     void firstAttemptMayBeginPastIdempotencyWindow() {
         EngineHarness harness = new EngineHarness(Idempotency.KEYED);
@@ -141,7 +141,7 @@
         assertTrue(harness.engine.tryBegin(first));
     }
 
-    /** Queued to the end by the dispatcher, whose ticks fall anywhere before the deadline. */
+    /** The dispatcher queues the request up to its deadline; its timer fires at any phase before the deadline. */
     @Property(seed = "41", tries = 60)
     void requestNeverSentIsShedAtDeadlineNotFailed(
             @ForAll Idempotency idempotency, @ForAll @IntRange(min = 0, max = 40) int phaseMs) {
@@ -154,14 +154,14 @@
         assertEquals("shed " + SECOND, harness.answers.get(request));
     }
 
-    /** Its answer is given, or its target drains, while an attempt waits: it does not begin. */
+    /** An attempt does not begin if its request is answered, or its target drains, while it waits. */
     @Test
     void unwantedAttemptOrAttemptToDrainingTargetDoesNotBegin() {
         EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
         harness.submit("a");
-        Attempt drained = harness.inFlight.remove(0);
+        Attempt toDrainingTarget = harness.inFlight.remove(0);
         harness.listTargets(0, EndpointState.READY);
-        assertFalse(harness.engine.tryBegin(drained));
+        assertFalse(harness.engine.tryBegin(toDrainingTarget));
         harness.listTargets(3, EndpointState.READY);
         Request request = harness.submit("b");
         Attempt unwanted = harness.inFlight.stream()
@@ -170,7 +170,7 @@
                 .orElseThrow();
         request.finished = true;
         assertFalse(harness.engine.tryBegin(unwanted));
-        assertTrue(drained.hasEnded() && unwanted.hasEnded());
+        assertTrue(toDrainingTarget.hasEnded() && unwanted.hasEnded());
     }
 
     @Test
@@ -191,7 +191,7 @@
         assertTrue(harness.answers.containsKey(first) && harness.answers.containsKey(second));
     }
 
-    /** Nothing of it was sent: it is shed, with the time until the gate opens, and not failed. */
+    /** Nothing of the request was sent, so it is shed with the time until the gate opens, and not failed. */
     @Test
     void requestExpiringAtSendGateIsShedWithRetryAfter() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
@@ -217,10 +217,10 @@
         harness.gate.open = true;
         harness.engine.resumeDeferred();
         assertEquals(0, harness.counters.attemptsSent);
-        assertNotNull(harness.submit("a"), "its correlation is free");
+        assertNotNull(harness.submit("a"), "the correlation id can be used again");
     }
 
-    /** The gate closes between the decision and the first byte: the attempt goes out once, when it opens. */
+    /** The gate closes between the decision and the first byte; the attempt is sent once, when the gate opens. */
     @Test
     void attemptNotBegunIsDeferredBySendGate() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
@@ -230,7 +230,7 @@
         assertFalse(harness.engine.tryBegin(attempt));
         assertFalse(attempt.hasEnded());
         harness.engine.resumeDeferred();
-        assertTrue(harness.inFlight.isEmpty(), "still closed");
+        assertTrue(harness.inFlight.isEmpty(), "the gate is still closed");
         harness.gate.open = true;
         harness.engine.resumeDeferred();
         assertEquals(List.of(attempt), harness.inFlight);
@@ -238,7 +238,7 @@
         assertEquals(1, harness.counters.attemptsSent);
     }
 
-    /** What was learned at the gate counts: the target drains, and the attempt ends as never sent. */
+    /** The target starts to drain while the attempt is deferred: the attempt ends unsent and is replaced. */
     @Test
     void attemptDeferredBySendGateIsReplacedWhenTargetDrains() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
@@ -267,10 +267,13 @@
         Attempt attempt = harness.inFlight.remove(0);
         harness.engine.attemptEnded(attempt, Outcome.SERVED, "ok".getBytes(), null);
         assertEquals("served ok", harness.answers.get(request));
-        assertNotNull(harness.submit("a"), "it is free again");
+        assertNotNull(harness.submit("a"), "the correlation id can be used again");
     }
 
-    /** Before the process ends: SIGKILL must find nothing unanswered, and nothing is sent for no one. */
+    /**
+     * Before the process ends: SIGKILL must find no request unanswered, and no attempt may be sent for a request that
+     * has its answer.
+     */
     @Test
     void answerAllByBoundsDeadlinesOfLaterRequestsOnly() {
         EngineHarness harness = new EngineHarness(Idempotency.IDEMPOTENT);
@@ -281,8 +284,8 @@
         long sent = harness.counters.attemptsSent;
         harness.advance(2 * MS);
         assertTrue(after.finished());
-        assertFalse(before.finished(), "accepted before: its own deadline holds");
-        assertEquals(sent, harness.counters.attemptsSent, "what is cut is not sent again");
+        assertFalse(before.finished(), "accepted before answerAllBy: it keeps its own deadline");
+        assertEquals(sent, harness.counters.attemptsSent, "no attempt is sent in place of those that were cut off");
         harness.advance(4 * SECOND);
         assertTrue(before.finished());
         assertEquals(0, harness.engine.openRequests());
--- a/src/test/java/beechseam/core/EngineTraceTest.java
+++ b/src/test/java/beechseam/core/EngineTraceTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The trace lines as tools read them. */
+/** Tests the format of the trace lines, which tools parse. */
 class EngineTraceTest {
     private final Logger logger = Logger.getLogger(Engine.class.getName());
     private final List<String> lines = new ArrayList<>();
@@ -34,18 +34,18 @@
     };
 
     @BeforeEach
-    void listen() {
+    void addHandler() {
         handler.setLevel(Level.ALL);
         logger.addHandler(handler);
     }
 
     @AfterEach
-    void stopListening() {
+    void removeHandler() {
         logger.removeHandler(handler);
         logger.setLevel(null);
     }
 
-    private void playOneRequest() {
+    private void runOneRequest() {
         EngineHarness harness = new EngineHarness(Idempotency.NON_IDEMPOTENT);
         harness.submit("a");
         Attempt attempt = harness.inFlight.remove(0);
@@ -56,7 +56,7 @@
     @Test
     void eachEventOfARequestHasALine() {
         logger.setLevel(Level.FINER);
-        playOneRequest();
+        runOneRequest();
         assertTrue(lines.get(0).startsWith("engine started settings="), lines.get(0));
         assertTrue(lines.get(1).startsWith("endpoints updated update=SNAPSHOT now_ns="), lines.get(1));
         assertTrue(lines.contains("request accepted job=1 class=0 budget_ns=4000000000 first_attempt=false"));
@@ -75,7 +75,7 @@
     @Test
     void nothingIsWrittenAboveTraceLevel() {
         logger.setLevel(Level.FINE);
-        playOneRequest();
+        runOneRequest();
         assertEquals(List.of(), lines);
     }
 }
--- a/src/test/java/beechseam/core/RequestTableTest.java
+++ b/src/test/java/beechseam/core/RequestTableTest.java
@@ -11,7 +11,7 @@
 
     private Request add(long id, String correlation) {
         Request request = new Request(id, correlation, 0, 1000, null, null);
-        request.deadline = Timer.running(() -> fail("the deadline of a finished request"));
+        request.deadline = Timer.running(() -> fail("the deadline of a finished request fired"));
         timers.set(request.deadline, 1000);
         table.add(request);
         return request;
@@ -21,7 +21,7 @@
     void requestStaysUntilItIsFinishedAndNoAttemptIsInFlight() {
         Request request = add(1, "a");
         table.removeIfSettled(request);
-        assertSame(request, table.find("a"), "it owes its answer");
+        assertSame(request, table.find("a"), "the request has no final answer yet");
         request.attemptsInFlight = 1;
         table.finish(request);
         table.removeIfSettled(request);
--- a/src/test/java/beechseam/core/RouteTableTest.java
+++ b/src/test/java/beechseam/core/RouteTableTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 
 class RouteTableTest {
-    /** Lists, changes and maintenance in any order: a target in maintenance is never ready in effect. */
+    /** With lists, changes and maintenance in any order, a target in maintenance never counts as ready. */
     @Property(seed = "77", tries = 200)
     void maintenanceOverridesListedStateUnderRandomUpdates(@ForAll long seed) {
         Random random = new Random(seed);
@@ -60,7 +60,7 @@
                 assertEquals(ready, table.acceptsNewWork(each));
                 WorkerEndpoint reported = effective.get(each);
                 assertEquals(ready, reported != null && reported.state() == EndpointState.READY);
-                // It may have restarted while in maintenance, whatever its entry says of that.
+                // The target may have restarted while in maintenance, whatever start time its entry has.
                 assertTrue(!ready || reported.startedNs() >= returnedAt.getOrDefault(each, 0L));
             }
         }
--- a/src/test/java/beechseam/sim/AdapterTest.java
+++ b/src/test/java/beechseam/sim/AdapterTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void sendsAndAnswersOnTheWire() throws IOException {
+    void repliesWithHandOffAndDecline() throws IOException {
         assertEquals(
                 List.of(
                         "{\"Yield\":{}}",
@@ -62,20 +62,22 @@
     }
 
     @Test
-    void shutdownAndBirthInOneBatchStartClean() throws IOException {
-        String again = BORN.replace("{\"Born\"", "{\"Shutdown\":{\"Who\":4}}\n{\"Born\"");
+    void shutdownAndBornInOneBatchStartNewInstance() throws IOException {
+        String restart = BORN.replace("{\"Born\"", "{\"Shutdown\":{\"Who\":4}}\n{\"Born\"");
         List<String> replies = exchange(BORN + """
             {"Clock":{"SimTimeNs":5100000000}}
             {"Inbound":{"Who":4,"Corr":1,"Qos":"q","BudgetNs":2000000000}}
             {"Commit":{}}
-            """ + again + """
+            """ + restart + """
             {"Clock":{"SimTimeNs":9900000000}}
             {"Alarm":{"Who":4,"Tag":1}}
             {"ClosedAttempt":{"Who":4,"Corr":1,"How":"no_answer","Worker":9}}
             {"Commit":{}}
             """);
         assertEquals(
-                1, replies.stream().filter(line -> line.contains("\"Corr\":1")).count(), "only the first hand-off");
+                1,
+                replies.stream().filter(line -> line.contains("\"Corr\":1")).count(),
+                "only the first instance's job is sent");
     }
 
     @Test
@@ -87,17 +89,17 @@
 
     @Test
     void malformedInputEndsTheProcessWithOneLine() throws Exception {
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "beechseam.sim.Adapter")
                 .start();
-        p.getOutputStream().write("{\"Clock\":12}\n".getBytes(StandardCharsets.UTF_8));
-        p.getOutputStream().close();
-        String error = new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
-        assertNotEquals(0, p.exitValue());
+        process.getOutputStream().write("{\"Clock\":12}\n".getBytes(StandardCharsets.UTF_8));
+        process.getOutputStream().close();
+        String error = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+        assertNotEquals(0, process.exitValue());
         assertEquals(1, error.lines().count(), error);
     }
 }
