--- a/src/main/java/beechseam/platform/PlatformNode.java
+++ b/src/main/java/beechseam/platform/PlatformNode.java
@@ -151,7 +151,7 @@
      * as the process does: what they were built from counts at the next start.
      */
     public void reload(NodeConfig next) {
-        discovery.move(next.discovery(), next.discoveryHost());
+        discovery.changeAddress(next.discovery(), next.discoveryHost());
         if (needsRestart(next)) {
             LOG.log(
                     Level.WARNING,
