--- a/src/main/java/beechseam/platform/Cancellation.java
+++ b/src/main/java/beechseam/platform/Cancellation.java
@@ -4,13 +4,17 @@
 import beechseam.http.HttpWriter;
 import java.nio.ByteBuffer;
 
-/** A DELETE that takes an accepted job back from its executor. */
+/** The DELETE request that cancels an accepted job at its executor. */
 final class Cancellation extends Exchange {
     private final EgressTarget target;
     private final String correlationId;
     private final Runnable onConfirmed;
 
-    /** {@code onConfirmed} runs when the executor says that it holds the job no more. */
+    /**
+     * Creates the request.
+     *
+     * @param onConfirmed runs when the executor confirms that it no longer holds the job
+     */
     Cancellation(EgressTarget target, String correlationId, Runnable onConfirmed) {
         this.target = target;
         this.correlationId = correlationId;
@@ -36,11 +40,11 @@
     void responseReceived(HttpParser response) {
         if (response.status() / 100 == 2) {
             onConfirmed.run();
-        } // else the job has ended there, and its call-back is on its way
+        } // otherwise the job has ended there, and its callback is on the way
     }
 
     @Override
     void failed(boolean neverRan) {
-        // An aborted attempt has ended here already; a recalled one stays in flight.
+        // An aborted attempt has already ended on this node; a recalled one stays in flight.
     }
 }
--- a/src/main/java/beechseam/platform/Discovery.java
+++ b/src/main/java/beechseam/platform/Discovery.java
@@ -24,24 +24,24 @@
 
 /**
  * Keeps the route table up to date from discovery's lists, over HTTP. During an outage of discovery the node
- * serves by the cached list. Discovery's address may change at any time. {@link ListWatch} decides when to
+ * uses the cached list. Discovery's address may change at any time. {@link ListWatch} decides when to
  * poll; this class is its transport and applies the lists.
  */
 final class Discovery implements ListWatch.Transport {
     private static final Logger LOG = System.getLogger(Discovery.class.getName());
-    /** Wait of a call that is to be answered immediately. */
+    /** Wait time of a call to which discovery should respond immediately. */
     private static final long MIN_WAIT_MS = 1;
-    /** Shortest interval between reloads of the configuration, well below the time to follow an address change. */
+    /** Minimum interval between reloads of the configuration, well below the time limit for an address change. */
     private static final long MIN_RELOAD_INTERVAL_NS = 1_000_000_000L;
 
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final int FIRST_FINAL_STATUS = 200;
     private static final int STATUS_OK = 200;
-    /** Causes of {@link #warnOnce}. */
+    /** Fixed causes of {@link #warnOnce}; failed responses add causes with their status. */
     private static final String CAUSE_ENTRIES = "entries";
 
     private static final String CAUSE_CONTENT = "content";
-    /** Limit of a list in bytes: some 20,000 entries as discovery writes them, 10,000 if indented. */
+    /** Maximum size of a list in bytes: about 20,000 entries as discovery writes them, 10,000 if indented. */
     static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     private final EventLoop loop;
@@ -59,8 +59,10 @@
     private final Set<String> reportedCauses = new HashSet<>();
 
     /**
+     * Creates a client that makes no call before {@link #start}.
+     *
      * @param address where discovery listens
-     * @param host the same as text, for the Host header
+     * @param host the same address as text, for the Host header
      * @param drainGraceNs see {@link ListWatch}
      */
     Discovery(
@@ -81,7 +83,7 @@
         startTimes = new ServerStartTimes(loop::now, System::currentTimeMillis);
     }
 
-    /** Starts from a cached list, which may be stale: the full list is requested nevertheless. */
+    /** Starts from a cached list. The full list is still requested, since the cached one may be stale. */
     void start(MemberList known) {
         if (!known.servers().isEmpty()) {
             apply(known, EndpointUpdate.CACHED);
@@ -89,20 +91,20 @@
         watch.start(known);
     }
 
-    /** Whether a list of discovery has been applied since the start. */
+    /** Whether a list from discovery has been applied since the start. */
     boolean isSynced() {
         return watch.isSynced();
     }
 
-    /** Whether the route table is current enough to send by. */
+    /** Tracks whether the route table is current enough to dispatch requests. */
     RouteTableFreshness freshness() {
         return watch.freshness();
     }
 
     /**
      * Changes discovery's address; no effect if it is the same. The route table stays in effect until the full
-     * list has been received from there: versions of another address may be counted differently, and entries
-     * that its list lacks must be removed.
+     * list has been received from the new address. Only a full list will do, since the versions of two addresses
+     * may not compare and entries missing from the new list must be removed.
      */
     void changeAddress(InetSocketAddress to, String toHost) {
         if (to.equals(address)) {
@@ -114,7 +116,7 @@
         watch.addressChanged();
     }
 
-    /** Cancels all calls; none is made any more. */
+    /** Cancels all calls and makes no further ones. */
     void stop() {
         watch.stop();
     }
@@ -125,9 +127,9 @@
     }
 
     /**
-     * Reloads the address after a connection failure: discovery may have moved without this node noticing.
-     * The reload signal may reach a process that has read its file and is not up yet, or find a file half
-     * written; polls would then go to the old address forever.
+     * Reloads the address from the configuration after a connection failure, since the node may have missed an
+     * address change: the reload signal may arrive after a starting process has read its file but before it
+     * handles signals, or while the file is only half written. Polls would then go to the old address forever.
      */
     private void reloadAddress() {
         if (configuration == null || reloading || loop.now() - reloadedAt < MIN_RELOAD_INTERVAL_NS) {
@@ -177,7 +179,7 @@
         LOG.log(first ? Level.INFO : Level.DEBUG, "discovery poll failed reason=" + reason);
     }
 
-    /** Logs an unusable list or entry as a warning, but only once for each {@code cause} until a usable list. */
+    /** Logs an unusable list or entry, as a warning only once per {@code cause} until a usable list arrives. */
     private void warnOnce(String cause, String message) {
         LOG.log(reportedCauses.add(cause) ? Level.WARNING : Level.DEBUG, message);
     }
@@ -234,7 +236,7 @@
     private final class AgentConnection extends Connection {
         private final HttpParser parser = new HttpParser(false, MAX_LIST_BYTES);
         private ListWatch.Call call;
-        /** Some entries of the last list were invalid. */
+        /** Whether some entries of the last list were invalid. */
         private boolean partiallyUsable;
 
         AgentConnection() throws IOException {
@@ -267,7 +269,7 @@
             }
             try {
                 while (in.hasRemaining() && !closed()) {
-                    if (call == null) { // an unsolicited response: the framing is lost
+                    if (call == null) { // an unsolicited response: the boundary of the next one is unknown
                         close();
                     } else if (!parser.parse(in)) {
                         return;
@@ -276,17 +278,17 @@
                     }
                 }
             } catch (HttpException e) {
-                rejectResponse("status " + e.status, "malformed_response detail=" + e.getMessage());
+                rejectResponse("malformed_response " + e.status, "malformed_response detail=" + e.getMessage());
             }
         }
 
-        /** An unusable list has no effect and counts as a failed call. */
+        /** Handles a complete response. An unusable list has no effect and counts as a failed call. */
         private void onResponse(boolean trailingBytes) {
             if (!parser.keepAlive() || parser.untilClose() || trailingBytes) {
                 close();
             }
             if (parser.status() != STATUS_OK) {
-                rejectResponse("answer " + parser.status(), "http_status status=" + parser.status());
+                rejectResponse("http_status " + parser.status(), "http_status status=" + parser.status());
                 return;
             }
             MemberList list;
@@ -309,7 +311,7 @@
             Object document = Json.parse(
                     parser.body().bytes(), parser.body().from(), parser.body().length());
             if (!(document instanceof Map<?, ?> map)) {
-                throw new IOException("not an object");
+                throw new IOException("the list is not a JSON object");
             }
             partiallyUsable = false;
             return MemberList.of(map, detail -> {
--- a/src/main/java/beechseam/platform/EgressConnection.java
+++ b/src/main/java/beechseam/platform/EgressConnection.java
@@ -16,18 +16,18 @@
     private final Timer connectTimeout = new Timer() {
         @Override
         protected void fire() {
-            fail(new IOException("no connection in time"));
+            fail(new IOException("connect timed out"));
         }
     };
-    /** The exchange under way, or the one that the connection is opened for; else null. */
+    /** The exchange in progress, or the one for which the connection is being opened; null if idle. */
     private Exchange current;
 
-    /** True within the call that opens the connection: a failure there may be this machine's. */
+    /** True during the call that opens the connection, where this machine may be the cause of a failure. */
     private boolean opening;
 
     private boolean requestBegun;
     private boolean requestWritten;
-    /** How long the connection was idle before the exchange under way, in nanoseconds; 0 for its first. */
+    /** How long the connection was idle before the current exchange, in nanoseconds; 0 for its first exchange. */
     private long idleBeforeNs;
 
     EgressConnection(EgressPool pool, EgressTarget target) throws IOException {
@@ -36,7 +36,7 @@
         this.target = target;
     }
 
-    /** Connects, and begins the exchange once connected. */
+    /** Connects, and begins the exchange when the connection is established. */
     void open(Exchange first) {
         current = first;
         loop.timers.set(connectTimeout, loop.now() + pool.connectTimeoutNs);
@@ -45,7 +45,7 @@
         opening = false;
     }
 
-    /** Begins an exchange on the idle connection; false where it was not wanted any more. */
+    /** Begins an exchange on the idle connection; returns false if the exchange was no longer wanted. */
     boolean begin(Exchange next) {
         current = next;
         idleBeforeNs = loop.now() - lastActivity();
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The exchange is asked at the last moment: much may have changed while it waited. */
+    /** Asks the exchange just before its first byte whether to send it, since it may have waited for long. */
     private boolean beginCurrent() {
         requestBegun = false;
         if (!current.tryBegin()) {
@@ -75,7 +75,7 @@
         return true;
     }
 
-    /** All queued bytes have been written: the last of the exchange under way among them, if it has begun. */
+    /** Called when all queued bytes have been written, including the whole current request if it has begun. */
     @Override
     protected void written() {
         if (current != null && requestBegun && !requestWritten) {
@@ -88,7 +88,7 @@
     protected void received(ByteBuffer in) {
         try {
             while (in.hasRemaining() && !closed()) {
-                if (current == null) { // a response to no request: where the next one starts is unknown
+                if (current == null) { // an unsolicited response: the boundary of the next one is unknown
                     close();
                     return;
                 }
@@ -104,7 +104,11 @@
         }
     }
 
-    /** {@code surplus}: bytes behind the response, which the next exchange would take for its own. */
+    /**
+     * Completes the current exchange, and keeps the connection only if it can be reused.
+     *
+     * @param surplus whether bytes follow the response, which would be taken for the response to the next request
+     */
     private void responseReceived(boolean surplus) {
         Exchange completed = current;
         current = null;
@@ -117,19 +121,20 @@
         completed.responseReceived(parser);
     }
 
-    /** Closes without a report to the exchange under way: its response is of no interest any more. */
+    /** Closes without notifying the current exchange, whose response is no longer needed. */
     void abort() {
         current = null;
         close();
     }
 
     /**
-     * A peer that has vanished says nothing: its exchange fails. One that trickles a response without end is no
-     * longer listened to once the exchange has expired.
+     * Applies the timeouts. If the peer has sent nothing for the stall timeout, the exchange fails. If the peer
+     * keeps sending parts of a response without completing it, the connection is closed once the exchange has
+     * expired.
      */
     void sweep(long nowNs, long stallTimeoutNs) {
         if (current != null && nowNs - lastActivity() > stallTimeoutNs) {
-            fail(new IOException("no answer"));
+            fail(new IOException("no progress within the stall timeout"));
         } else if (current != null && requestBegun && current.hasExpired(nowNs)) {
             abort();
         }
@@ -145,14 +150,14 @@
             Exchange failed = current;
             current = null;
             failed.connection = null;
-            if (opening && cause instanceof BindException) { // out of ports: no fault of the executor's
+            if (opening && cause instanceof BindException) { // out of ports: not the executor's fault
                 pool.retryLater(target, failed, cause);
                 return;
             }
             if (requestBegun && idleBeforeNs > 0) {
                 pool.shortenIdleTimeout(target, idleBeforeNs);
             }
-            // Before its last byte has gone nothing can have run; after that it may have.
+            // The request cannot have run before its last byte was written; after that it may have.
             failed.failed(!requestBegun || unwritten() > 0);
         }
     }
--- a/src/main/java/beechseam/platform/EgressPool.java
+++ b/src/main/java/beechseam/platform/EgressPool.java
@@ -15,29 +15,34 @@
 import java.util.Set;
 
 /**
- * Keep-alive connections to executors, bounded in total and for each executor. An exchange goes out on an idle
- * connection, else on a new one, else it waits in its target's queue. It is never sent twice: whether a
- * request that broke off has run is not the pool's to judge, so it reports the failure and retries nothing but
- * sockets that could not be opened on this machine.
+ * Pool of keep-alive connections to executors, bounded in total and per executor. An exchange is sent on an idle
+ * connection if there is one, otherwise on a new connection; at the bound it waits in its target's queue.
+ *
+ * <p>The pool never sends an exchange twice, because it cannot tell whether an interrupted request has run. It
+ * reports the failure to the exchange and retries only when this machine could not open a socket.
  */
 final class EgressPool {
     private static final Logger LOG = System.getLogger(EgressPool.class.getName());
 
-    /** An exchange without progress for so long will not be answered: longer than any client waits. */
+    /** An exchange fails after this time without progress, which is longer than any client waits. */
     private static final long STALL_TIMEOUT_NS = 15_000_000_000L;
 
-    /** A middlebox may forget idle connections sooner than configured; but none is renewed at each use. */
+    /**
+     * Lower bound of the idle timeout, which shrinks when a middlebox drops idle connections earlier than
+     * configured. Without it the pool could end up opening a connection for every request.
+     */
     private static final long MIN_IDLE_TIMEOUT_NS = 50_000_000L;
 
     private static final long DEFAULT_IDLE_TIMEOUT_NS = 30_000_000_000L;
 
     /**
-     * A second response may come some milliseconds behind the first and would be taken for that to the next
-     * request: a connection is reused only after this time where another is free or can be opened.
+     * Time between a response and the next request on the same connection, unless no other connection is idle or
+     * can be opened. A faulty executor may send a second response some milliseconds after the first, which would
+     * be taken for the response to the next request.
      */
     private static final long REUSE_DELAY_NS = 20_000_000L;
 
-    /** After this time without a break on an idle connection a longer idle timeout is tried again. */
+    /** The idle timeout is doubled after this time without a connection that broke after being idle. */
     private static final long IDLE_TIMEOUT_RECOVERY_NS = 30_000_000_000L;
 
     final EventLoop loop;
@@ -49,9 +54,9 @@
     private int openConnections;
 
     private final Map<Long, EgressTarget> targets = new HashMap<>();
-    /** Targets whose exchanges wait for a connection. */
+    /** Targets with exchanges that wait for a connection. */
     private final Set<EgressTarget> queuedTargets = new LinkedHashSet<>();
-    /** Listed no more, but with connections that are still busy: these end by the same timeouts. */
+    /** Targets that are no longer listed but still have busy connections; the same timeouts apply to these. */
     private final Set<EgressTarget> removedTargets = new LinkedHashSet<>();
 
     private final RetryBackoff socketBackoff = RetryBackoff.forSockets();
@@ -65,11 +70,12 @@
     private boolean sendsAtTurnEnd;
 
     /**
-     * An empty pool, without room for connections until {@link #setLimits}.
+     * Creates an empty pool, which opens no connections before {@link #setLimits} is called.
      *
-     * @param connectTimeoutNs how long a connect and the response to a written job may take, in nanoseconds
-     * @param peerIdleTimeoutNs after which the executor's side closes an idle connection, in nanoseconds: this
-     *     side does so at half the time; 0 or less where that is not known
+     * @param connectTimeoutNs timeout of a connect, and of the response to a job that has been written, in
+     *     nanoseconds
+     * @param peerIdleTimeoutNs time after which an executor closes an idle connection, in nanoseconds; 0 or less
+     *     if unknown. The pool closes its idle connections after half of this time.
      */
     EgressPool(EventLoop loop, long connectTimeoutNs, long peerIdleTimeoutNs) {
         this.loop = loop;
@@ -77,18 +83,18 @@
         this.maxIdleTimeoutNs = peerIdleTimeoutNs > 0 ? peerIdleTimeoutNs / 2 : DEFAULT_IDLE_TIMEOUT_NS;
     }
 
-    /** Bounds the connections. Above a lowered bound none is closed, but none is opened either. */
+    /** Sets the bounds on connections. Lowering a bound closes none, but none is opened above it. */
     void setLimits(int connections, int connectionsPerTarget) {
         maxConnections = connections;
         maxConnectionsPerTarget = connectionsPerTarget;
     }
 
-    /** The executor with this id, or null where none is listed. */
+    /** Returns the executor with this id, or null if none is listed. */
     EgressTarget target(long id) {
         return targets.get(id);
     }
 
-    /** An entry of the route table names this address. A changed one replaces the target. */
+    /** Adds the target of a route table entry. A target whose address has changed is replaced. */
     void put(long id, String host, InetSocketAddress address) {
         EgressTarget known = targets.get(id);
         if (known == null || !known.address.equals(address)) {
@@ -97,7 +103,7 @@
         }
     }
 
-    /** Fails what is queued for the target and closes its idle connections; busy ones end as they would. */
+    /** Removes a target: fails its queued exchanges and closes its idle connections. Busy ones finish as usual. */
     void remove(long id) {
         EgressTarget target = targets.remove(id);
         if (target != null) {
@@ -115,7 +121,7 @@
         }
     }
 
-    /** Removes all targets but these. */
+    /** Removes all targets except these. */
     void retain(Set<Long> listedIds) {
         for (Long id : List.copyOf(targets.keySet())) {
             if (!listedIds.contains(id)) {
@@ -124,7 +130,7 @@
         }
     }
 
-    /** Sends it on an idle connection or a new one, or queues it until a connection becomes free. */
+    /** Sends the exchange on an idle or a new connection, or queues it until a connection becomes free. */
     void send(EgressTarget target, Exchange exchange) {
         EgressConnection idle = acquireIdle(target);
         if (idle != null) {
@@ -158,8 +164,9 @@
     }
 
     /**
-     * This machine is out of descriptors or ports: that says nothing of the executor, which must not be
-     * suspected for it. The exchange waits, for as long as it is wanted, until a socket can be opened.
+     * Queues an exchange for which no socket could be opened because this machine is out of descriptors or ports.
+     * The executor must not be suspected of a fault for that, so the exchange does not fail; it is retried with
+     * backoff for as long as its owner still wants it sent.
      */
     void retryLater(EgressTarget target, Exchange exchange, IOException cause) {
         Level level = socketBackoff.recordFailure() ? Level.WARNING : Level.DEBUG;
@@ -170,7 +177,7 @@
         }
     }
 
-    /** A connection has been established: this machine opens sockets again. */
+    /** Called when a connection has been established, which shows that this machine can open sockets again. */
     void connectionEstablished() {
         long failures = socketBackoff.recordSuccess();
         if (failures > 0) {
@@ -183,7 +190,7 @@
         sendQueued();
     }
 
-    /** Sends queued exchanges as far as there is room for connections. */
+    /** Sends queued exchanges until the bounds on connections are reached. */
     private void sendQueued() {
         for (EgressTarget target : List.copyOf(queuedTargets)) {
             int queued = target.queue.size();
@@ -191,7 +198,7 @@
                     i < queued && !target.queue.isEmpty() && target.openConnections < maxConnectionsPerTarget;
                     i++) {
                 if (retryTimer.armed() || !hasRoomForConnection()) {
-                    return; // no further target has room either
+                    return; // the remaining targets could not open a connection either
                 }
                 send(target, poll(target));
             }
@@ -207,9 +214,11 @@
     }
 
     /**
-     * An idle connection past its reuse delay, the one used last first, or null. Its peer may have closed it
-     * in this very turn, and a request written to it then may have run for all that is known: so it is read
-     * first.
+     * Removes and returns the most recently used idle connection whose reuse delay has passed, or null if there
+     * is none. If no further connection may be opened, the one idle for longest is used even before its delay.
+     *
+     * <p>The connection is read first, to notice whether the peer has closed it in this turn of the loop: a
+     * request written after that would fail without showing whether it has run.
      */
     private EgressConnection acquireIdle(EgressTarget target) {
         long now = loop.now();
@@ -227,7 +236,7 @@
         return null;
     }
 
-    /** Whether one more may be opened; at the bound an idle connection of any target is closed for it. */
+    /** Whether one more connection may be opened; at the total bound, closes an idle one of any target for it. */
     private boolean hasRoomForConnection() {
         return openConnections < maxConnections || closeOneIdle();
     }
@@ -243,7 +252,7 @@
         return false;
     }
 
-    /** A connection has no exchange: the next in its target's queue takes it. */
+    /** Called when a connection has no exchange: begins the next queued one of its target, or keeps it idle. */
     void connectionIdle(EgressConnection connection) {
         EgressTarget target = connection.target();
         if (connection.closed()) {
@@ -260,10 +269,10 @@
         }
         target.busyConnections.remove(connection);
         target.idleConnections.addFirst(connection);
-        sendQueuedAtTurnEnd(); // another target's exchange may wait for its descriptor
+        sendQueuedAtTurnEnd(); // another target's exchange may be waiting for a connection to be closed
     }
 
-    /** Not at once: a long queue before a dead executor would recurse as deep. */
+    /** Deferred to the end of the turn, since a long queue for an unreachable executor would recurse deeply. */
     private void sendQueuedAtTurnEnd() {
         if (!queuedTargets.isEmpty() && !sendsAtTurnEnd) {
             sendsAtTurnEnd = true;
@@ -277,8 +286,9 @@
     }
 
     /**
-     * A connection that had been idle for {@code idleNs} nanoseconds broke at its next request, which may have
-     * run for all that is known: connections idle for so long are closed from now on, not used again.
+     * Shortens the target's idle timeout after a connection that had been idle for {@code idleNs} nanoseconds
+     * broke at its next request. Whether such a request has run is unknown, so connections are closed in future
+     * before they have been idle for that long.
      */
     void shortenIdleTimeout(EgressTarget target, long idleNs) {
         if (idleNs >= MIN_IDLE_TIMEOUT_NS) {
@@ -287,7 +297,7 @@
         }
     }
 
-    /** A connection that was counted as open has closed. */
+    /** Called when a connection that was counted as open has closed. */
     void connectionClosed(EgressConnection connection) {
         EgressTarget target = connection.target();
         target.openConnections--;
@@ -297,12 +307,12 @@
         sendQueuedAtTurnEnd();
     }
 
-    /** How many connections are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     int openConnections() {
         return openConnections;
     }
 
-    /** Applies the timeouts; called periodically, {@code nowNs} on the loop's clock. */
+    /** Applies the idle and stall timeouts. Called periodically with the time on the loop's clock. */
     void sweep(long nowNs) {
         for (EgressTarget target : targets.values()) {
             if (target.idleTimeoutNs < maxIdleTimeoutNs
@@ -321,7 +331,7 @@
         List.copyOf(target.busyConnections).forEach(each -> each.sweep(nowNs, STALL_TIMEOUT_NS));
     }
 
-    /** Removes all targets; busy connections end with their exchanges. */
+    /** Removes all targets. Busy connections close when their exchanges end. */
     void close() {
         loop.timers.cancel(retryTimer);
         List.copyOf(targets.keySet()).forEach(this::remove);
--- a/src/main/java/beechseam/platform/EgressTarget.java
+++ b/src/main/java/beechseam/platform/EgressTarget.java
@@ -5,24 +5,24 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** An executor's address, the connections to it, and the exchanges that wait for one. Owned by its pool. */
+/** An executor's address, its connections, and the exchanges that wait for a connection. Owned by the pool. */
 final class EgressTarget {
     final long id;
     /** The value of the Host header. */
     final String host;
 
     final InetSocketAddress address;
-    /** Used last first. */
+    /** The most recently used connection is first. */
     final ArrayDeque<EgressConnection> idleConnections = new ArrayDeque<>();
 
     final Set<EgressConnection> busyConnections = new LinkedHashSet<>();
     final ArrayDeque<Exchange> queue = new ArrayDeque<>();
     int openConnections;
-    /** The route table lists it no more: nothing new is sent to it. */
+    /** True once the route table no longer lists the executor: no new exchange is sent to it. */
     boolean removed;
-    /** How long a connection may stand idle and still be used, in nanoseconds. */
+    /** The longest time for which a connection may be idle before it is closed, in nanoseconds. */
     long idleTimeoutNs;
-    /** When {@link #idleTimeoutNs} was last adjusted, on the loop's clock. */
+    /** Time of the last change of {@link #idleTimeoutNs}, on the loop's clock. */
     long idleTimeoutChangedAt;
 
     EgressTarget(long id, String host, InetSocketAddress address, long idleTimeoutNs) {
@@ -32,7 +32,7 @@
         this.idleTimeoutNs = idleTimeoutNs;
     }
 
-    /** Closes connections that have stood idle for longer than the timeout. */
+    /** Closes connections that have been idle for longer than the timeout. */
     void closeExpiredIdle(long nowNs) {
         while (!idleConnections.isEmpty() && nowNs - idleConnections.peekLast().lastActivity() > idleTimeoutNs) {
             idleConnections.peekLast().close();
--- a/src/main/java/beechseam/platform/HealthCheck.java
+++ b/src/main/java/beechseam/platform/HealthCheck.java
@@ -12,9 +12,9 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** A GET that asks an executor for its load. The engine is told the result exactly once. */
+/** The GET request that asks an executor for its load. Reports its result to the engine exactly once. */
 final class HealthCheck extends Exchange {
-    /** From the request for it, time in the queue included. */
+    /** Timeout of a health check, including the time that it waits for a connection. */
     private static final long TIMEOUT_NS = 500_000_000L;
 
     private final EgressPool pool;
@@ -71,7 +71,7 @@
         complete(response.status() == 200, load);
     }
 
-    /** The report in the body, as JSON with or without a member "load" or in the header's form; or null. */
+    /** Parses the body: JSON, with the report as member "load" or at the top, or the header's format; else null. */
     private LoadReport bodyReport(Slice body) {
         try {
             if (body.length() > 0 && Json.parse(body.bytes(), body.from(), body.length()) instanceof Map<?, ?> report) {
--- a/src/main/java/beechseam/platform/ListWatch.java
+++ b/src/main/java/beechseam/platform/ListWatch.java
@@ -10,31 +10,34 @@
 
 /**
  * Client side of discovery's list-watch protocol: decides which call is made and when, independent of the
- * transport. The full list is fetched once, then long polls follow each other without a gap.
+ * transport. It fetches the full list once and then makes long polls, each one as soon as the previous one has
+ * returned.
  *
  * <p>A change must be applied within {@link #PROPAGATION_LIMIT_NS} after discovery had it and was reachable,
- * and at once when discovery recovers from an outage; all timeouts here derive from this limit and the drain
- * grace. A long poll waits for a third of the limit, so that one without a response is detected with most of
- * the limit left. From the first failure on, a call that does not wait is made every half drain grace, each
- * on its own connection and in parallel to the pending ones (a hedged request): the first response cancels
- * the others. There is no backoff: the address is an agent's on this machine, where a poll is cheap, and a
- * longer interval could outlast its outage.
+ * and immediately when discovery recovers from an outage. All timeouts here derive from this limit and the drain
+ * grace. A long poll waits for a third of the limit, so that a missing response is detected while most of the
+ * limit remains.
+ *
+ * <p>After a failure, a call that does not wait is made every half drain grace, each on its own connection and in
+ * parallel to the pending ones (a hedged request). The first response cancels the others. There is no backoff:
+ * the address is that of an agent on this machine, where a poll is cheap, and a longer interval would delay the
+ * recovery from an outage.
  */
 final class ListWatch {
-    /** Set by the platform: a change must be applied within this time after discovery had it and was reachable. */
+    /** Required by the platform: maximum time to apply a change once discovery has it and is reachable. */
     static final long PROPAGATION_LIMIT_NS = 6_000_000_000L;
 
     /** How long discovery may hold a long poll without a change. */
     static final long WATCH_WAIT_NS = PROPAGATION_LIMIT_NS / 3;
-    /** How late a response may be before the call is given up. */
+    /** How long after its due time a response may arrive before the call is cancelled. */
     static final long RESPONSE_TIMEOUT_NS = PROPAGATION_LIMIT_NS / 6;
-    /** Bounds of the retry interval, whatever the deployment's drain grace. */
+    /** Bounds of the retry interval, which otherwise follows from the configured drain grace. */
     static final long MIN_RETRY_INTERVAL_NS = 50_000_000L;
 
     static final long MAX_RETRY_INTERVAL_NS = PROPAGATION_LIMIT_NS / 24;
-    /** Calls pending at a time; each may hold a descriptor. */
+    /** Maximum number of concurrent calls; each may use a descriptor. */
     static final int MAX_PENDING_CALLS = 8;
-    /** In place of a version: the call asks for the full list. */
+    /** Value of {@link Call#sinceVersion} for a call that asks for the full list. */
     static final long FULL_LIST = -1;
 
     /** Carries the calls and applies their results. */
@@ -47,7 +50,7 @@
          */
         void poll(Call call, Call predecessor);
 
-        /** Cancels a pending call; its response is no longer wanted. */
+        /** Cancels a pending call, whose response is no longer needed. */
         void cancel(Call call);
 
         /** Applies the full list, or a delta to the list applied before. */
@@ -56,17 +59,17 @@
         /**
          * Logs a failure.
          *
-         * @param first false where the calls before have failed too
+         * @param first whether it is the first failure since the last successful call
          */
         void onPollFailure(String reason, boolean first);
 
-        /** Reads what has arrived for the call and is unread; returns whether there was any. */
+        /** Reads the data that has arrived for the call; returns whether there was any. */
         boolean readUnread(Call call);
     }
 
     /**
-     * A pending call. {@code sinceVersion} is the version whose successors it asks for, or {@link #FULL_LIST};
-     * {@code waitNs} is how long discovery may hold it, in nanoseconds.
+     * A pending call. {@code sinceVersion} is the version after which it asks for changes, or {@link #FULL_LIST};
+     * {@code waitNs} is how long discovery may delay the response, in nanoseconds.
      */
     static final class Call {
         final long sinceVersion;
@@ -77,7 +80,7 @@
         private long firstByteAt;
 
         private long lastByteAt;
-        /** Reserved for the transport. */
+        /** For use by the transport. */
         Object connection;
 
         private Call(long sinceVersion, long waitNs, long now) {
@@ -91,12 +94,12 @@
             return sentAt + waitNs;
         }
 
-        /** A response that makes progress does not time out, however long the list is. */
+        /** Whether the call has timed out. Each received byte extends the timeout, so that long lists can arrive. */
         private boolean hasTimedOut(long now) {
             return now >= Math.max(dueAt(), lastByteAt) + RESPONSE_TIMEOUT_NS;
         }
 
-        /** An empty response to a long poll, long before its time: repeated immediately it would be a busy loop. */
+        /** Whether a long poll returned empty long before its wait had passed; repeating it would be a busy loop. */
         private boolean respondedWithoutWaiting(MemberList list, long now) {
             return list.version() == sinceVersion && list.servers().isEmpty() && now < startedAt + waitNs / 2;
         }
@@ -113,9 +116,9 @@
             onTimeout();
         }
     };
-    /** The full list has been received from this address: versions of different addresses do not compare. */
+    /** Whether the full list was received from the current address; versions of other addresses do not compare. */
     private boolean hasFullList;
-    /** The last call succeeded: the next may be a long poll. */
+    /** Whether the last call succeeded, so that the next one may be a long poll. */
     private boolean healthy;
 
     private boolean synced;
@@ -125,8 +128,10 @@
     private final RouteTableFreshness freshness;
 
     /**
+     * Creates a watch; {@link #start} makes its first call.
+     *
      * @param clock steady clock, in nanoseconds
-     * @param drainGraceNs time that the rules allow between the notice of a drain and the last send
+     * @param drainGraceNs maximum time between the notice of a drain and the last send to that server
      */
     ListWatch(LongSupplier clock, Timers timers, long drainGraceNs, Transport transport) {
         this.clock = clock;
@@ -134,17 +139,17 @@
         this.transport = transport;
         retryIntervalNs = Math.max(MIN_RETRY_INTERVAL_NS, Math.min(MAX_RETRY_INTERVAL_NS, drainGraceNs / 2));
         long stallNs =
-                Math.max(MIN_RETRY_INTERVAL_NS, drainGraceNs * 2 / 3); // the rest is left for a call's round trip
+                Math.max(MIN_RETRY_INTERVAL_NS, drainGraceNs * 2 / 3); // the rest is for the round trip of a call
         freshness =
                 new RouteTableFreshness(clock, timers, stallNs, RESPONSE_TIMEOUT_NS, this::readUnread, this::recheck);
     }
 
-    /** Whether the list is current enough to act on. */
+    /** Tracks whether the list is current enough to dispatch requests. */
     RouteTableFreshness freshness() {
         return freshness;
     }
 
-    /** Starts from a cached list, which may be stale: the full list is requested nevertheless. */
+    /** Starts from a cached list. The full list is still requested, since the cached one may be stale. */
     void start(MemberList known) {
         version = known.version();
         freshness.start();
@@ -156,7 +161,7 @@
         return synced;
     }
 
-    /** The transport uses another address from now on, whose versions may be counted differently. */
+    /** Called when the transport has a new address, whose versions may not compare to those of the old one. */
     void addressChanged() {
         hasFullList = false;
         healthy = false;
@@ -165,7 +170,7 @@
         startCall(null);
     }
 
-    /** The list may be stale: makes a call that does not wait, in parallel to the pending ones. */
+    /** Makes a call that does not wait, in parallel to the pending ones, because the list may be stale. */
     private void recheck() {
         if (pending.stream().noneMatch(each -> each.waitNs == 0 && freshness.confirms(each.startedAt))) {
             healthy = false;
@@ -181,7 +186,7 @@
         return any;
     }
 
-    /** Cancels all calls; none is made any more. */
+    /** Cancels all calls and makes no further ones. */
     void stop() {
         stopped = true;
         freshness.stop();
@@ -189,14 +194,14 @@
         cancelAll();
     }
 
-    /** The call has completed with a list; ignored unless the call is pending. */
+    /** Called when the call has completed with a list; no effect unless the call is pending. */
     void onResponse(Call call, MemberList list) {
         if (!pending.remove(call)) {
             return;
         }
         boolean changes = !list.full();
         if (changes && list.version() < call.sinceVersion) {
-            hasFullList = false; // a delta to a list that we do not have
+            hasFullList = false; // a delta to a list that this node does not have
             retryLater("stale_delta version=" + list.version() + " since_version=" + call.sinceVersion);
             return;
         }
@@ -215,7 +220,7 @@
         }
     }
 
-    /** The call has been sent; that may be late in a process that has just started, so its timeout starts now. */
+    /** Called when the call has been sent. Its timeout starts now, since a starting process may send it late. */
     void onSent(Call call) {
         call.sentAt = clock.getAsLong();
         if (call == pending.peekLast()) {
@@ -227,13 +232,13 @@
         timers.set(retryTimer, call.dueAt() + retryIntervalNs);
     }
 
-    /** Bytes of the response have been read; it may be incomplete. */
+    /** Called when bytes of the response have been read, which may still be incomplete. */
     void recordProgress(Call call) {
         call.lastByteAt = clock.getAsLong();
         call.firstByteAt = call.firstByteAt == 0 ? call.lastByteAt : call.firstByteAt;
     }
 
-    /** The call has failed; ignored unless the call is pending. */
+    /** Called when the call has failed; no effect unless the call is pending. */
     void onFailure(Call call, String reason) {
         if (pending.remove(call)) {
             retryLater(reason);
@@ -242,7 +247,7 @@
 
     private void retryLater(String reason) {
         reportFailure(reason);
-        long next = clock.getAsLong() + retryIntervalNs; // not immediately: a refused connection would be a busy loop
+        long next = clock.getAsLong() + retryIntervalNs; // an immediate retry would be a busy loop
         if (!stopped && (!retryTimer.armed() || retryTimer.due() > next)) {
             timers.set(retryTimer, next);
         }
@@ -282,7 +287,7 @@
         transport.poll(call, predecessor);
     }
 
-    /** The oldest call without progress, else the youngest: a long list needs time to arrive. */
+    /** The oldest call without progress, or the newest if all make progress, since long lists take time. */
     private Call evictionCandidate() {
         return pending.stream().filter(each -> each.lastByteAt == 0).findFirst().orElse(pending.peekLast());
     }
--- a/src/main/java/beechseam/platform/PlatformEgress.java
+++ b/src/main/java/beechseam/platform/PlatformEgress.java
@@ -6,7 +6,7 @@
 import beechseam.core.Engine;
 import beechseam.dispatch.Outcome;
 
-/** The engine's attempts, cancellations and health checks as HTTP exchanges with executors. */
+/** Carries out the engine's attempts, cancellations and health checks as HTTP exchanges with executors. */
 final class PlatformEgress implements Egress {
     private final EgressPool pool;
     private final ModuleOptions options;
@@ -17,7 +17,7 @@
         this.options = options;
     }
 
-    /** Connects it to its engine, which is built with it; once, before any other call. */
+    /** Sets the engine, whose constructor takes this object; called once, before any other method. */
     void attach(Engine attachedEngine) {
         engine = attachedEngine;
     }
--- a/src/main/java/beechseam/platform/RouteTableFreshness.java
+++ b/src/main/java/beechseam/platform/RouteTableFreshness.java
@@ -10,25 +10,26 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether the route table is current enough to send by. It is not after a start, a change of discovery's
- * address, or a stall of this process: updates may lie unread in a socket, or may not have been requested.
- * Requests are then deferred until discovery has responded or its response has timed out; after that the
- * cached table is used, since an outage of discovery may be long.
+ * Tracks whether the route table is current enough to dispatch requests. It may be stale after a start, a change of
+ * discovery's address, or a stall of this process, because updates may be unread in a socket or may not have been
+ * requested. Requests are then deferred until discovery has responded or the response has timed out.
+ * After the timeout the cached table is used, since an outage of discovery may be long.
  *
- * <p>A heartbeat every half stall limit reads discovery's connections. One that is later than the limit
- * detects that the process was stopped or starved. The response timeout is counted by heartbeats too, each
- * of which counts for one limit at most, so that it does not elapse while the process does not run. No I/O.
+ * <p>A heartbeat, fired every half stall limit, reads discovery's connections. If more than the limit has passed
+ * since the previous check, the process was stopped or starved of CPU. The heartbeats also measure the response
+ * timeout, and each of them counts for at most one limit, so that the timeout does not elapse while the process
+ * is not running. The class performs no I/O itself.
  */
 final class RouteTableFreshness implements SendGate {
     private static final Logger LOG = System.getLogger(RouteTableFreshness.class.getName());
 
-    /** States of the route table; shown to operators in lower case. */
+    /** States of the route table; operators see them in lower case. */
     enum State {
         /** A response of discovery is pending: requests are deferred. */
         AWAITED,
-        /** The table is discovery's current list. */
+        /** The table matches discovery's current list. */
         CONFIRMED,
-        /** Discovery does not respond: requests are sent by the cached table. */
+        /** Discovery does not respond: requests are dispatched according to the cached table. */
         UNCONFIRMED
     }
 
@@ -56,11 +57,14 @@
     private boolean checking;
 
     /**
+     * Creates the tracker in state {@link State#AWAITED}.
+     *
      * @param clock steady clock, in nanoseconds
-     * @param timers run the heartbeat
-     * @param stallNs stall limit: after a longer stall the process may have missed an update in effect
-     * @param responseTimeoutNs response timeout of discovery
-     * @param readUnread reads all that discovery has sent and is unread; returns whether there was any
+     * @param timers schedules the heartbeat
+     * @param stallNs stall limit, in nanoseconds: after a longer stall the process may have missed an update that
+     *     has already taken effect
+     * @param responseTimeoutNs response timeout of discovery, in nanoseconds
+     * @param readUnread reads all data from discovery that is still unread; returns whether there was any
      * @param recheck makes a call to which discovery responds immediately
      */
     RouteTableFreshness(
@@ -101,37 +105,38 @@
         return state;
     }
 
-    /** Whether the gate has been open since the start. */
+    /** Whether the gate has been open at any time since the start. */
     boolean hasOpened() {
         return hasOpened;
     }
 
-    /** Discovery's address has changed: its response timeout starts anew, and earlier responses do not count. */
+    /** Called when discovery's address has changed: restarts the response timeout and ignores earlier calls. */
     void addressChanged() {
         remainingNs = responseTimeoutNs;
         awaitResponse(clock.getAsLong());
     }
 
-    /** The table may be stale until the response to a call made at {@code since} or later, in nanoseconds. */
+    /** Closes the gate until the response to a call made at time {@code since} or later, in nanoseconds. */
     private void awaitResponse(long since) {
         awaitedSince = Math.max(awaitedSince, since);
-        if (state != State.AWAITED) { // else the response timeout goes on
+        if (state != State.AWAITED) { // otherwise the response timeout continues
             remainingNs = responseTimeoutNs;
             enter(State.AWAITED);
         }
     }
 
-    /** Whether the response to a call made at that time confirms the table, if it is read in time. */
+    /** Whether the response to a call made at that time confirms the table, if it is read promptly. */
     boolean confirms(long callStartedAt) {
         return state != State.AWAITED || callStartedAt >= awaitedSince;
     }
 
     /**
-     * Discovery has responded to a call. Returns false where the response may be older than the stall limit,
-     * since it lay unread or took long to receive: it does not confirm the table, and another call is needed.
+     * Called when discovery has responded to a call. Returns false if the response does not confirm the table and
+     * another call is needed: it may be older than the stall limit, because it was left unread or took long to
+     * receive, or its call was made too early.
      *
      * @param callStartedAt when the call was made, in nanoseconds
-     * @param firstByteAt when the first bytes of the response were read, or 0 where it was read in one piece
+     * @param firstByteAt when the first bytes of the response were read, or 0 if it was read in one piece
      */
     boolean onResponse(long callStartedAt, long firstByteAt) {
         long now = clock.getAsLong();
@@ -160,7 +165,7 @@
         return state == State.AWAITED ? Math.max(0, remainingNs) : 0;
     }
 
-    /** Reads what discovery has sent, then accounts for the time since the last check. */
+    /** Reads unread data from discovery, then evaluates the time since the last check. */
     private void checkForStall(long now) {
         if (checking) {
             return;
@@ -170,7 +175,7 @@
         boolean stalled = elapsedNs > stallNs;
         boolean wasConfirmed = state == State.CONFIRMED;
         if (stalled && wasConfirmed) {
-            awaitResponse(now); // before anything is read, since that may cause sends
+            awaitResponse(now); // before the read, which may cause requests to be sent
         }
         boolean hadUnread = readUnread.getAsBoolean();
         checkedAt = now;
--- a/src/main/java/beechseam/platform/ServerStartTimes.java
+++ b/src/main/java/beechseam/platform/ServerStartTimes.java
@@ -8,34 +8,35 @@
 import java.util.function.LongSupplier;
 
 /**
- * Start times of servers on the node's steady clock. Discovery dates starts by a wall clock, which may be
- * stepped at any time, on the machine that dates them as well as on the node's. Independent of any clock is
- * this: a server whose date differs from that of the previous list has started between the two lists.
+ * Converts the start times of servers to the node's steady clock. Discovery reports start dates by a wall clock,
+ * and both that clock and this node's wall clock may be stepped at any time. One conclusion holds independently of
+ * all clocks: a server whose date differs from that in the previous list has started between the two lists.
  *
- * <p>Where lists are consecutive such a start is taken as now: the error is less than the gap between the
- * lists, and a server taken for younger than it is gets less work, never too much. After a longer gap, such as
- * an outage of discovery, its date is trusted if it lies within the gap and this machine's wall clock has not
- * been stepped meanwhile. The first list of a process has no baseline to compare with: a date is taken as it
- * is, and one in the future as now. A date that has not changed keeps the time first assigned to it. No I/O.
+ * <p>If two lists are consecutive, such a server is assumed to have started now. The error is less than the gap
+ * between the lists, and a server that is assumed younger than it is receives less work, never too much. After a
+ * longer gap, such as an outage of discovery, the date is trusted if it lies within the gap and this machine's wall
+ * clock has not been stepped since the previous list. The first list of a process has no previous list to compare
+ * with, so its dates are trusted; a date in the future counts as now. As long as a server's date does not change, it
+ * keeps the time first assigned to it. The class performs no I/O.
  */
 final class ServerStartTimes {
-    /** Largest gap between consecutive lists: that of a long poll with a response in time. */
+    /** Largest gap between consecutive lists: the wait of a long poll plus its response timeout. */
     static final long MAX_CONSECUTIVE_GAP_NS = ListWatch.WATCH_WAIT_NS + ListWatch.RESPONSE_TIMEOUT_NS;
-    /** The two clocks are not read at the same instant, and the wall clock has a resolution of milliseconds. */
+    /** Allows for reading the two clocks at different instants, and for the wall clock's resolution of 1 ms. */
     private static final long READING_TOLERANCE_NS = 20_000_000L;
-    /** A slewed wall clock runs fast or slow by up to 1/2000; a larger deviation is a step. */
+    /** A slewed wall clock deviates by up to 1/2000. A deviation of more than 1/1000 counts as a step. */
     private static final long SLEW_DIVISOR = 1000;
 
     private static final long NANOS_PER_MS = 1_000_000L;
 
-    /** A server's start: the list's date in Unix milliseconds, and the time on the steady clock in nanoseconds. */
+    /** A server's start: the date in the list, in Unix milliseconds, and the steady clock's time in nanoseconds. */
     private record Start(long dateMs, long startedAt) {}
 
     private final LongSupplier clock;
     private final LongSupplier wallClockMs;
     private final Map<String, Start> starts = new HashMap<>();
     private boolean hasBaseline;
-    /** When the previous list was applied, and the offset of the wall clock from the steady clock then. */
+    /** When the previous list was applied; {@link #baselineOffsetNs} is the wall clock's offset at that time. */
     private long baselineAt;
 
     private long baselineOffsetNs;
@@ -45,6 +46,8 @@
     private boolean datesTrusted;
 
     /**
+     * Creates an instance that has seen no list.
+     *
      * @param clock the node's steady clock, in nanoseconds
      * @param wallClockMs Unix time by the machine's wall clock, in milliseconds
      */
@@ -54,9 +57,9 @@
     }
 
     /**
-     * Begins the update by a list.
+     * Begins the update by a list; called before {@link #startedAtNs} for its servers.
      *
-     * @param cached whether the list is from before this process, of unknown age
+     * @param cached whether the list was received before this process started, so that its age is unknown
      */
     void beginUpdate(boolean cached) {
         now = clock.getAsLong();
@@ -74,7 +77,7 @@
         }
     }
 
-    /** When the server started on the steady clock, in nanoseconds; 0 for long ago. */
+    /** Returns the server's start on the steady clock, in nanoseconds; 0 if it started long ago. */
     long startedAtNs(MemberList.Server server) {
         if (server.startedMs() == 0 || server.state() == EndpointState.REMOVED) {
             starts.remove(server.id());
@@ -93,10 +96,10 @@
             return now;
         }
         long startedAt = now - (wallNowMs - dateMs) * NANOS_PER_MS;
-        return startedAt >= earliestAt ? Math.max(1, startedAt) : now; // 0 would stand for long ago
+        return startedAt >= earliestAt ? Math.max(1, startedAt) : now; // 0 means long ago
     }
 
-    /** Removes all servers but these, after a full list has been applied. */
+    /** Removes all servers except these; called after a full list has been applied. */
     void retain(Set<String> listed) {
         starts.keySet().retainAll(listed);
     }
--- a/src/main/java/beechseam/platform/Submission.java
+++ b/src/main/java/beechseam/platform/Submission.java
@@ -11,8 +11,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The POST that submits an attempt to an executor. A 202 says that the executor holds the job; its outcome then
- * comes by call-back. Any other response is the outcome.
+ * The POST request that submits an attempt to an executor. Status 202 means that the executor has accepted the job
+ * and reports the outcome by a callback. Any other status is the outcome.
  */
 final class Submission extends Exchange {
     private static final int ACCEPTED = 202;
@@ -24,7 +24,7 @@
     private final EgressTarget target;
     private boolean accepted;
     private boolean aborted;
-    /** When the last byte of the request had gone, on the loop's clock. */
+    /** When the last byte of the request was written, on the loop's clock. */
     private long writtenAt = Long.MAX_VALUE;
 
     private final Timer acceptTimeout = new Timer() {
@@ -67,13 +67,19 @@
         pool.loop.timers.set(acceptTimeout, writtenAt + pool.connectTimeoutNs);
     }
 
-    /** A close before the 202 cancels the job at the executor: only once the attempt has ended there. */
+    /**
+     * Expires only after the attempt has ended, since the executor cancels the job when the connection is closed
+     * before the 202.
+     */
     @Override
     boolean hasExpired(long nowNs) {
         return attempt.hasEnded() && nowNs - pool.connectTimeoutNs > writtenAt;
     }
 
-    /** The connection or the machine has fallen silent: the job may have run, or may yet. */
+    /**
+     * Ends the attempt when the executor has neither responded nor reported anything: the job may have run, or may
+     * still run later.
+     */
     private void timedOut() {
         if (!attempt.hasEnded() && !attempt.acknowledged()) {
             engine.counters().silent++;
@@ -91,7 +97,7 @@
             return;
         }
         Slice unprocessed = response.header("x-unprocessed");
-        attempt.awaitsConfirmation(attempt.acknowledged()); // the response ends it, unless call-backs have begun
+        attempt.awaitsConfirmation(attempt.acknowledged()); // the response is final unless callbacks have arrived
         boolean neverRan = (status == 503 || status == 504) && unprocessed != null && unprocessed.same("1");
         engine.attemptEnded(
                 attempt,
@@ -110,9 +116,10 @@
     }
 
     /**
-     * Asks the executor to hand the job back; the attempt ends once that is confirmed, since two calls to two
-     * executors may overtake each other and both would hold the job. Before the 202 there is nobody to confirm,
-     * and the timeout ends the attempt soon.
+     * Asks the executor to cancel the job so that it can be sent elsewhere. The attempt ends only when the executor
+     * confirms this: otherwise the next attempt could reach its executor before this request arrives, and two
+     * executors would hold the job. Before the 202 the executor cannot confirm, and the accept timeout ends the
+     * attempt soon.
      */
     void recall() {
         if (accepted && !aborted && !target.removed) {
@@ -121,8 +128,8 @@
     }
 
     /**
-     * Abandons the attempt. An accepted job is cancelled by DELETE. Before the 202 its connection is closed, to
-     * the same end: a machine that has vanished never responds, and its connections would be held for good.
+     * Abandons the attempt. An accepted job is cancelled by a DELETE request. Before the 202 the connection is
+     * closed, which cancels the job too and frees the connection of an executor that never responds.
      */
     void abort() {
         if (aborted) {
