--- a/src/test/java/beechseam/platform/DiscoveryListTest.java
+++ b/src/test/java/beechseam/platform/DiscoveryListTest.java
@@ -83,7 +83,7 @@
         CHUNKED
     }
 
-    /** A list of servers that all have the stand-in's address. */
+    /** A list of servers that all have the address of the executor's stand-in. */
     private String list(int servers, Form form) {
         String space = form == Form.INDENTED ? "\n      " : "";
         StringBuilder list = new StringBuilder("{\"version\":9,\"full\":true,\"servers\":[");
@@ -113,7 +113,7 @@
         discovery.get(0).say(form == Form.CHUNKED ? chunked(body, 200) : answer("200 OK", body));
         net.until("the list", () -> node.isSynced());
         assertEquals(servers, node.engine.routeTable().size());
-        net.until("ready", node::ready); // at once, or after a second where reading the list took long
+        net.until("ready", node::ready); // immediately, or after 1 s if reading the list took long
         Peer client = ask("c1", "safe", "30000m");
         attempt(0, "c1").say(answer("202 Accepted", ""));
         net.until("served", () -> node.counters.current() == 1);
@@ -121,7 +121,7 @@
         assertEquals(0, warnings());
     }
 
-    /** Slower than the retry interval: calls made in parallel must not cancel the one that makes progress. */
+    /** The list takes longer than the retry interval: parallel calls must not cancel the one that makes progress. */
     @ParameterizedTest
     @EnumSource(Form.class)
     void slowlyReceivedListIsApplied(Form form) {
@@ -138,7 +138,7 @@
         assertFalse(discovery.get(0).gone);
     }
 
-    /** The buffer grown for a list is released: more lists than would fit on the heap together. */
+    /** The buffer that grew for a long list is released: the heap could not hold the buffers of all lists. */
     @Test
     void bufferOfLongListIsReleased() {
         String body = list(4096, Form.INDENTED);
@@ -195,13 +195,13 @@
         }
         assertFalse(node.isSynced());
         assertTrue(node.engine.routeTable().acceptsNewWork(CACHED_SERVER), "the current list stays in effect");
-        assertEquals(1, warnings(), "once a cause");
+        assertEquals(1, warnings(), "one warning per cause");
         for (String each : expectedText.split(" \\.\\.\\. ")) {
             assertTrue(firstWarning().contains(each), firstWarning());
         }
     }
 
-    /** A truncated response is a connection failure and no list. */
+    /** A truncated response counts as a connection failure, not as a list. */
     @Test
     void listTruncatedByCloseIsRequestedAgain() {
         String whole = answer("200 OK", list(100, Form.COMPACT));
@@ -210,10 +210,10 @@
         discovery.get(0).close();
         awaitPoll(1);
         assertTrue(node.engine.routeTable().acceptsNewWork(CACHED_SERVER));
-        assertTrue(discovery.get(1).heard().startsWith("GET /catalog/members HTTP/1.1"), "the whole list");
+        assertTrue(discovery.get(1).heard().startsWith("GET /catalog/members HTTP/1.1"), "asks for the full list");
     }
 
-    /** An invalid entry is ignored alone; where it names a listed server, that stays in effect. */
+    /** Only the invalid entry is ignored; if it names a server that is listed already, that one stays in effect. */
     @Test
     void invalidEntryLeavesCurrentServerInEffect() {
         String invalid = row("SERVING").replaceAll("\"addr\":\"[^\"]*\",", "");
--- a/src/test/java/beechseam/platform/EgressPoolTest.java
+++ b/src/test/java/beechseam/platform/EgressPoolTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The pool's bounds on connections, and who gets what becomes free. */
+/** The pool's bounds on connections, and how freed capacity reaches the exchanges that wait for it. */
 class EgressPoolTest {
     private static final long CONNECT_TIMEOUT_NS = 250_000_000L;
 
@@ -22,9 +22,9 @@
     private final EgressPool pool = new EgressPool(net.loop, CONNECT_TIMEOUT_NS, 60_000_000_000L);
     private final List<List<Peer>> executors = new ArrayList<>();
 
-    private static final class Call extends Exchange {
-        private boolean answered;
-        private boolean broken;
+    private static final class RecordedExchange extends Exchange {
+        private boolean responded;
+        private boolean failed;
 
         @Override
         boolean tryBegin() {
@@ -38,12 +38,12 @@
 
         @Override
         void responseReceived(HttpParser response) {
-            answered = true;
+            responded = true;
         }
 
         @Override
         void failed(boolean neverRan) {
-            broken = true;
+            failed = true;
         }
     }
 
@@ -53,20 +53,20 @@
         net.close();
     }
 
-    private void executor() {
+    private void addExecutor() {
         List<Peer> peers = new ArrayList<>();
-        InetSocketAddress at = net.standIn(peers);
-        pool.put(executors.size(), "x", at);
+        InetSocketAddress address = net.standIn(peers);
+        pool.put(executors.size(), "x", address);
         executors.add(peers);
     }
 
-    private Call send(int executor) {
-        Call call = new Call();
-        pool.send(pool.target(executor), call);
-        return call;
+    private RecordedExchange send(int executor) {
+        RecordedExchange exchange = new RecordedExchange();
+        pool.send(pool.target(executor), exchange);
+        return exchange;
     }
 
-    private Peer asked(int executor, int connection) {
+    private Peer awaitRequest(int executor, int connection) {
         List<Peer> peers = executors.get(executor);
         net.until(
                 "a request",
@@ -74,45 +74,45 @@
         return peers.get(connection);
     }
 
-    /** All connections are taken, none of them to the second executor: it gets the next that is free. */
+    /** All connections go to the first executor: the second one's exchange is sent when one of them is freed. */
     @Test
     void connectionFreedAtOneTargetServesQueueOfAnother() {
         pool.setLimits(2, 2);
-        executor();
-        executor();
-        Call first = send(0);
-        Call second = send(0);
-        Call other = send(1);
-        asked(0, 1);
+        addExecutor();
+        addExecutor();
+        RecordedExchange first = send(0);
+        RecordedExchange second = send(0);
+        RecordedExchange other = send(1);
+        awaitRequest(0, 1);
         net.settle(50);
-        assertTrue(executors.get(1).isEmpty(), "no room yet");
-        asked(0, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        net.until("the answer", () -> first.answered);
-        asked(1, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        net.until("the other's answer", () -> other.answered);
+        assertTrue(executors.get(1).isEmpty(), "all connections are in use");
+        awaitRequest(0, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        net.until("the first response", () -> first.responded);
+        awaitRequest(1, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        net.until("the other executor's response", () -> other.responded);
         assertEquals(2, pool.openConnections());
-        assertTrue(!second.answered && !second.broken);
+        assertTrue(!second.responded && !second.failed);
     }
 
-    /** The same where the connection breaks, and where many wait. */
+    /** A lost connection frees capacity too, and each of several waiting exchanges is sent in turn. */
     @Test
     void connectionLostAtOneTargetFreesCapacityForOthers() {
         pool.setLimits(1, 1);
         for (int i = 0; i < 5; i++) {
-            executor();
+            addExecutor();
         }
-        Call lost = send(0);
-        List<Call> waiting = new ArrayList<>();
+        RecordedExchange lost = send(0);
+        List<RecordedExchange> waiting = new ArrayList<>();
         for (int i = 1; i < 5; i++) {
             waiting.add(send(i));
         }
-        asked(0, 0).close();
+        awaitRequest(0, 0).close();
         for (int i = 1; i < 5; i++) {
-            Call call = waiting.get(i - 1);
-            asked(i, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            net.until("answer " + i, () -> call.answered);
+            RecordedExchange exchange = waiting.get(i - 1);
+            awaitRequest(i, 0).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            net.until("response " + i, () -> exchange.responded);
         }
-        assertTrue(lost.broken);
+        assertTrue(lost.failed);
         assertEquals(1, pool.openConnections());
     }
 }
--- a/src/test/java/beechseam/platform/EgressRaceTest.java
+++ b/src/test/java/beechseam/platform/EgressRaceTest.java
@@ -8,29 +8,29 @@
 import beechseam.dispatch.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Races on connections to executors: closes, resets and surplus responses beside the next request. */
+/** Races on connections to executors: a close, reset or surplus response that coincides with the next request. */
 class EgressRaceTest extends RaceHarness {
-    /** Its peer has closed it, and the close lies unread when the next request would be written. */
+    /** The executor has closed an idle connection, and the node has not read the close when the next job arrives. */
     @Test
     void idleConnectionClosedByPeerIsNotReused() {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
+        Peer client = connectedClient().say(job("c1", "once"));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         done("c1", "one");
         heard(client, "one");
         net.settle(20);
         executor.get(0).close();
-        Answers answers = new Answers();
+        RecordedReply reply = new RecordedReply();
         Object message = new JobMessage("/once/x", "X-Correlation-Id: c2\r\n", "body".getBytes());
-        // Before the loop has read that close.
-        node.engine.submit("c2", 1, 30_000_000_000L, 1, 0, message, answers);
+        // Submitted before the loop has read that close.
+        node.engine.submit("c2", 1, 30_000_000_000L, 1, 0, message, reply);
         attempt(1, "c2").say(answer("202 Accepted", ""));
         done("c2", "two");
-        net.until("the answer", () -> answers.said.equals("served two"));
+        net.until("the reply", () -> reply.text.equals("served two"));
         assertEquals(0, node.counters.ended(Outcome.LOST));
     }
 
-    /** An answer behind the answer must not be taken for that of the next request on the connection. */
+    /** A second response behind the first must not be taken for the response to the next request. */
     @Test
     void surplusResponseClosesOnlyItsConnection() {
         startListed(SETTINGS, false);
@@ -39,7 +39,7 @@
         }
         net.until(
                 "all connections busy",
-                () -> written() == CONNECTIONS && node.counters.attemptsSent == CONNECTIONS + 1);
+                () -> requestsWritten() == CONNECTIONS && node.counters.attemptsSent == CONNECTIONS + 1);
         executor.get(0).say(answer("202 Accepted", "") + answer("500 Oops", ""));
         attempt(CONNECTIONS, "c");
         net.settle(50);
@@ -47,7 +47,7 @@
         assertTrue(executor.get(0).gone);
     }
 
-    /** The same some milliseconds later, when the next request would long be written. */
+    /** The second response comes some milliseconds later, when the next request would already be written. */
     @Test
     void delayedSurplusResponseIsNotTakenForTheNextOne() {
         startListed(SETTINGS, false);
@@ -57,27 +57,27 @@
         ask("c2", "once", "30000m");
         attempt(1, "c2");
         executor.get(0).say(answer("500 Oops", ""));
-        net.until("the end of the first connection", () -> executor.get(0).gone);
+        net.until("the close of the first connection", () -> executor.get(0).gone);
         executor.get(1).say(answer("202 Accepted", ""));
         net.settle(50);
         assertEquals(0, node.counters.ended(Outcome.ERROR));
         ask("c3", "once", "30000m");
-        net.until("the hop of c3", () -> executor.get(1).heard().contains("X-Correlation-Id: c3"));
-        assertEquals(2, executor.size(), "rested, it is used again");
+        net.until("the attempt of c3", () -> executor.get(1).heard().contains("X-Correlation-Id: c3"));
+        assertEquals(2, executor.size(), "the connection is reused after the reuse delay");
     }
 
-    /** Half a line of an answer, then another by call-back: the connection is freed, not held for good. */
+    /** The executor trickles a response without end and reports the result by callback: the connection is closed. */
     @Test
     void endlessResponseDoesNotKeepItsConnection() {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
+        Peer client = connectedClient().say(job("c1", "once"));
         Peer trickling = attempt(0, "c1").say("HTTP/1.1 202 Acc");
         event("c1", "\"from\":\"s-0badcafe\",\"state\":\"started\"");
         for (int i = 0; i < 30; i++) {
             trickling.say("e");
             net.settle(20);
         }
-        assertFalse(trickling.gone, "a close before the 202 would give the job up");
+        assertFalse(trickling.gone, "a close before the 202 would cancel the job");
         done("c1", "fine");
         assertTrue(heard(client, "fine").startsWith("HTTP/1.1 200"));
         for (int i = 0; i < 100 && !trickling.gone; i++) {
@@ -87,49 +87,49 @@
         assertTrue(trickling.gone);
     }
 
-    /** The same at an executor that is listed no more: nobody looked after its connections. */
+    /** Timeouts apply to the connections of an executor that is no longer listed; they were once left open. */
     @Test
     void connectionToRemovedExecutorIsClosed() {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
+        Peer client = connectedClient().say(job("c1", "once"));
         Peer silent = attempt(0, "c1");
         event("c1", "\"from\":\"s-0badcafe\",\"state\":\"started\"");
         awaitDiscoveryCall(0, "after=2&");
         discovery.get(0).say(answer("200 OK", list(3, "")));
-        net.until("the row to go", () -> node.engine.routeTable().size() == 0);
+        net.until("the removal of the entry", () -> node.engine.routeTable().size() == 0);
         done("c1", "fine");
         heard(client, "fine");
-        net.until("the end of its connection", () -> silent.gone);
+        net.until("the close of its connection", () -> silent.gone);
     }
 
-    /** The connection is reset when the whole request has been handed to the kernel: it may have run. */
+    /** The connection is lost after the whole request has been written: the job may have run. */
     @Test
     void nonIdempotentJobIsNotRetriedAfterResetBehindLastByte() {
         startListed(SETTINGS, true);
-        Peer client = connected().say(job("c1", "once"));
-        net.until("the hop", () -> written() == 1);
-        (executor.isEmpty() ? other : executor).get(0).close();
+        Peer client = connectedClient().say(job("c1", "once"));
+        net.until("the attempt", () -> requestsWritten() == 1);
+        (executor.isEmpty() ? otherExecutor : executor).get(0).close();
         net.until("an answer", () -> client.heard().startsWith("HTTP/1.1 502"));
         assertEquals(1, node.counters.attemptsSent);
     }
 
-    /** Keeps what it was told. */
-    private static final class Answers implements Ingress {
-        private String said = "";
+    /** A client that records its reply. */
+    private static final class RecordedReply implements Ingress {
+        private String text = "";
 
         @Override
         public void served(Request request, byte[] result) {
-            said += "served " + new String(result);
+            text += "served " + new String(result);
         }
 
         @Override
         public void shed(Request request, long pauseNs) {
-            said += "shed";
+            text += "shed";
         }
 
         @Override
         public void failed(Request request, String why) {
-            said += "failed";
+            text += "failed";
         }
     }
 }
--- a/src/test/java/beechseam/platform/ListWatchTest.java
+++ b/src/test/java/beechseam/platform/ListWatchTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The calls to discovery in virtual time, for each fault mode of the agent. */
+/** The calls to discovery in virtual time, for each fault mode of discovery's agent. */
 class ListWatchTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1000 * MILLISECOND;
@@ -24,7 +24,7 @@
     private static final long ONE_WAY_NS = MILLISECOND / 2;
     private static final long SLOW_NS = 80 * SECOND;
 
-    /** SILENT: accepted without a response. SLOW: the response is sent byte by byte, for long. */
+    /** SILENT: the call gets no response. SLOW: the response arrives in small parts over {@link #SLOW_NS}. */
     enum Fault {
         NONE,
         SILENT,
@@ -163,7 +163,7 @@
             responding.forEach(each -> at(now + ONE_WAY_NS, () -> reply(each)));
         }
 
-        /** Breaks the pending calls: silently, or by a reset where the fault is one of the connection. */
+        /** Breaks the pending calls: by a reset if the fault is one of the connection, otherwise silently. */
         void inject(Fault next) {
             fault = next;
             List<Call> broken = List.copyOf(watches);
@@ -173,12 +173,12 @@
             }
         }
 
-        /** Runs until the version is applied, for {@code atMost} nanoseconds; when that was, or far in the future. */
-        long appliedWithin(long wanted, long atMost) {
-            for (long end = now + atMost; appliedVersion < wanted && now < end; ) {
+        /** Runs until the version is applied, for at most this time; returns when it was, or a time far ahead. */
+        long appliedWithin(long wantedVersion, long limitNs) {
+            for (long end = now + limitNs; appliedVersion < wantedVersion && now < end; ) {
                 run(now + MILLISECOND);
             }
-            return appliedVersion >= wanted ? appliedAt : Long.MAX_VALUE / 2;
+            return appliedVersion >= wantedVersion ? appliedAt : Long.MAX_VALUE / 2;
         }
 
         @Override
@@ -201,41 +201,41 @@
 
         @Override
         public boolean readUnread(Call call) {
-            return false; // what arrives here is read as it arrives
+            return false; // this transport never has unread data
         }
     }
 
-    /** The longest delay, in nanoseconds, between a change that could be read and its being applied, over outages. */
-    private static long worst(Fault fault, long grid) {
-        long worst = 0;
+    /** Longest delay, in nanoseconds, from when a change is available until it is applied, over many outages. */
+    private static long longestDelay(Fault fault, long offsetStepNs) {
+        long longest = 0;
         for (long length : new long[] {MILLISECOND, 140 * MILLISECOND, SECOND, 3 * SECOND, 10 * SECOND}) {
-            for (long offset = 0; offset <= length + 3 * SECOND; offset += grid) {
+            for (long offset = 0; offset <= length + 3 * SECOND; offset += offsetStepNs) {
                 Agent agent = new Agent(1);
-                agent.run(5 * SECOND + offset * 7 % ListWatch.WATCH_WAIT_NS); // at any moment of a watch
+                agent.run(5 * SECOND + offset * 7 % ListWatch.WATCH_WAIT_NS); // at various times within a watch
                 long start = agent.now;
                 agent.at(start + length, () -> agent.fault = Fault.NONE);
                 agent.inject(fault);
                 agent.run(start + offset);
                 agent.change();
                 long availableAt = Math.max(agent.now, start + length); // discovery had it and was reachable
-                worst = Math.max(worst, agent.appliedWithin(2, 20 * SECOND) - availableAt);
+                longest = Math.max(longest, agent.appliedWithin(2, 20 * SECOND) - availableAt);
             }
         }
-        return worst;
+        return longest;
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SLOW")
     void changeIsAppliedWithinPropagationLimitForEveryFaultMode(Fault fault) {
-        long worst = worst(fault, 50 * MILLISECOND);
-        System.out.println("discovery fault=" + fault + " propagation_ms=" + worst / MILLISECOND);
-        assertTrue(worst <= ListWatch.WATCH_WAIT_NS + 2 * GRACE, fault + ": " + worst / MILLISECOND + " ms");
-        assertTrue(worst < ListWatch.PROPAGATION_LIMIT_NS / 2, "with half of the limit to spare");
+        long longest = longestDelay(fault, 50 * MILLISECOND);
+        System.out.println("discovery fault=" + fault + " propagation_ms=" + longest / MILLISECOND);
+        assertTrue(longest <= ListWatch.WATCH_WAIT_NS + 2 * GRACE, fault + ": " + longest / MILLISECOND + " ms");
+        assertTrue(longest < ListWatch.PROPAGATION_LIMIT_NS / 2, "with half of the limit to spare");
     }
 
     /**
-     * A change at the end of an outage is in effect at once: only the drain grace is left for the call. (An agent
-     * that responds late has no outage.)
+     * A change made as an outage ends is applied within the drain grace. (An agent that responds late has no
+     * outage.)
      */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "LATE")
@@ -247,9 +247,9 @@
             agent.run(agent.now + length);
             agent.fault = Fault.NONE;
             agent.change();
-            long back = agent.now;
-            long after = agent.appliedWithin(2, 10 * SECOND) - back;
-            assertTrue(after <= GRACE, fault + ": " + after / MILLISECOND + " ms");
+            long recoveredAt = agent.now;
+            long delay = agent.appliedWithin(2, 10 * SECOND) - recoveredAt;
+            assertTrue(delay <= GRACE, fault + ": " + delay / MILLISECOND + " ms");
         }
     }
 
@@ -265,8 +265,9 @@
             }
             agent.run(6 * SECOND + agent.random.nextInt(3000) * MILLISECOND);
             agent.change();
-            long from = agent.now;
-            assertTrue(agent.appliedWithin(2, 20 * SECOND) - from <= ListWatch.PROPAGATION_LIMIT_NS, "seed " + seed);
+            long changedAt = agent.now;
+            assertTrue(
+                    agent.appliedWithin(2, 20 * SECOND) - changedAt <= ListWatch.PROPAGATION_LIMIT_NS, "seed " + seed);
         }
     }
 
@@ -294,24 +295,24 @@
         agent.run(30 * SECOND);
         assertTrue(agent.calls < 30 * SECOND / (GRACE / 2) * 2 + 10, "" + agent.calls);
         agent.change();
-        long from = agent.now;
-        assertTrue(agent.appliedWithin(2, SECOND) - from <= GRACE);
+        long changedAt = agent.now;
+        assertTrue(agent.appliedWithin(2, SECOND) - changedAt <= GRACE);
     }
 
-    /** Responses are 0.9 s late: the calls made in parallel must not cancel the first one. */
+    /** Responses are 0.9 s late: the first call must not be cancelled by those made in parallel. */
     @Test
     void lateResponseToEarlierCallIsApplied() {
         Agent agent = new Agent(1);
         agent.fault = Fault.LATE;
         agent.run(30 * SECOND);
         agent.change();
-        long from = agent.now;
+        long changedAt = agent.now;
         assertTrue(
-                agent.appliedWithin(2, 10 * SECOND) - from <= ListWatch.WATCH_WAIT_NS + 2 * SECOND,
+                agent.appliedWithin(2, 10 * SECOND) - changedAt <= ListWatch.WATCH_WAIT_NS + 2 * SECOND,
                 "late, but applied");
     }
 
-    /** 4,096 servers at 10 KB/s: the call that makes progress is kept, whatever is polled in parallel. */
+    /** A list of 4,096 servers at 10 KB/s: parallel calls do not cancel the one that makes progress. */
     @Test
     void slowlyReceivedListIsApplied() {
         Agent agent = new Agent(1, Fault.SLOW);
@@ -333,12 +334,12 @@
         agent.fault = Fault.NONE;
         agent.change();
         assertTrue(agent.appliedWithin(2, 10 * SECOND) - agent.now <= 0);
-        long from = agent.now;
+        long changedAt = agent.now;
         agent.change();
-        assertTrue(agent.appliedWithin(3, SECOND) - from <= GRACE);
+        assertTrue(agent.appliedWithin(3, SECOND) - changedAt <= GRACE);
     }
 
-    /** A process that is slow to start sends its first call late: no second one is made before its timeout. */
+    /** A process that is slow to start sends its first call late: no second call is made before that times out. */
     @Test
     void timeoutOfCallStartsWhenItIsSent() {
         Agent agent = new Agent(1, Fault.SILENT);
@@ -351,7 +352,7 @@
         assertEquals(2, agent.calls);
     }
 
-    /** A call beside a pending watch fails: it is retried at the retry interval, not when the watch times out. */
+    /** A failed call beside a pending watch is retried at the retry interval, not when the watch times out. */
     @Test
     void failedCallBesidePendingWatchIsRetriedAfterRetryInterval() {
         Agent agent = new Agent(1);
@@ -367,14 +368,14 @@
         assertTrue(agent.watch.freshness().open());
     }
 
-    /** Versions of another list do not compare: the full list is requested. */
+    /** A restarted agent counts versions anew: its delta is rejected and the full list requested. */
     @Test
     void deltaUpToOlderVersionIsRejectedAndFullListRequested() {
         Agent agent = new Agent(1);
         agent.version = 41;
         agent.run(SECOND);
         assertEquals(41, agent.appliedVersion);
-        agent.version = 7; // it has restarted and counts its versions anew
+        agent.version = 7; // restarted, with a new version count
         agent.run(3 * SECOND);
         assertEquals(EndpointUpdate.SNAPSHOT, agent.lastUpdate);
         agent.appliedVersion = 0;
--- a/src/test/java/beechseam/platform/ListedNodeHarness.java
+++ b/src/test/java/beechseam/platform/ListedNodeHarness.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A node that discovery has told of the usual executor. */
+/** A node that has received a list with the usual executor from discovery. */
 abstract class ListedNodeHarness extends NodeHarness {
     final PlatformNode node = newNode(SETTINGS);
 
--- a/src/test/java/beechseam/platform/RaceConditionTest.java
+++ b/src/test/java/beechseam/platform/RaceConditionTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What comes between two lines of code: each test forces one race over loopback sockets, whose kernel
- * side acts at once while the node's loop is turned by hand. docs/STANDING.md lists them.
+ * Race conditions between the events of several connections. Each test forces one order of events over loopback
+ * sockets: the kernel delivers data immediately, while the test decides when the node's event loop runs.
+ * docs/STANDING.md lists the cases.
  */
 class RaceConditionTest extends RaceHarness {
     private static final String MARKED_RETRIES =
@@ -24,7 +25,7 @@
 
     private boolean stopped;
 
-    /** Sent behind another, it is read at once and parsed late: its time has run meanwhile. */
+    /** A pipelined request is parsed only after the previous one has ended: its budget runs from its last byte. */
     @Test
     void pipelinedRequestsDeadlineCountsFromItsLastByte() {
         startListed(MARKED_RETRIES, false);
@@ -39,11 +40,11 @@
                 .filter(each -> each.contains(": c2"))
                 .findFirst()
                 .orElseThrow();
-        long told = Long.parseLong(sent.replaceAll("(?s).*X-Time-Left: (\\d+)m.*", "$1"));
-        assertTrue(told <= 1500 - 700 + 150, "told to have " + told + " ms");
+        long budgetMs = Long.parseLong(sent.replaceAll("(?s).*X-Time-Left: (\\d+)m.*", "$1"));
+        assertTrue(budgetMs <= 1500 - 700 + 150, "budget sent: " + budgetMs + " ms");
     }
 
-    /** Its time is over before it is parsed: refused, with nothing sent, and the connection lives on. */
+    /** A pipelined request whose budget ends before it is parsed is shed without an attempt. */
     @Test
     void pipelinedRequestPastItsDeadlineIsShed() {
         startListed(MARKED_RETRIES, false);
@@ -53,45 +54,45 @@
         assertEquals(1, node.counters.attemptsSent);
     }
 
-    /** Two requests in one write; the first is served after a while, and the second has so much time. */
-    private Peer pipelineTwo(String timeOfSecond, long elapsedMs) {
-        Peer client = connected();
-        client.say(job("c1", "once") + job("c2", "once").replace("30000m", timeOfSecond));
+    /** Sends two requests in one write, the second with the given budget; the first is served after a delay. */
+    private Peer pipelineTwo(String budgetOfSecond, long delayMs) {
+        Peer client = connectedClient();
+        client.say(job("c1", "once") + job("c2", "once").replace("30000m", budgetOfSecond));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         event("c1", "\"from\":\"s-0badcafe\",\"state\":\"started\"");
-        net.settle(elapsedMs);
+        net.settle(delayMs);
         done("c1", "one");
         return client;
     }
 
-    /** With short deadlines it comes soon after SIGTERM: clients go as soon as no new ones come. */
+    /** With short deadlines a node that shuts down disconnects its clients soon after new ones stop arriving. */
     @Test
     void shortDeadlinesDrainClientsOnceNoNewOnesCome() {
         startListed(SETTINGS.replace("60000000000,\"Effect\"", "250000000,\"Effect\""), false);
-        Peer client = connected();
-        Peer silent = connected();
+        Peer client = connectedClient();
+        Peer silent = connectedClient();
         node.stop(() -> stopped = true);
         net.settle(300);
         client.say("GET /_health HTTP/1.1\r\n\r\n");
         String before = heard(client, "not ready\n");
-        assertFalse(before.contains("Connection: close"), "it could come back here: " + before);
+        assertFalse(before.contains("Connection: close"), "the client could still reconnect to this node: " + before);
         net.settle(150);
         client.say("GET /_health HTTP/1.1\r\n\r\n");
         String after = heard(client, "not ready\n");
         assertTrue(after.contains("Connection: close"), after);
-        assertTrue(silent.gone, "idle ones are closed");
+        assertTrue(silent.gone, "idle connections are closed");
         client.close();
-        net.until("the end", () -> stopped);
+        net.until("the end of the shutdown", () -> stopped);
     }
 
-    /** The request and the close are read in one turn: nobody is there any more, and nothing is sent. */
+    /** The request and the client's close are read in one turn of the loop: no attempt is sent. */
     @Test
     void clientDisconnectedBehindItsRequestGetsNoAttempt() {
         startListed(SETTINGS, false);
-        Peer client = connected();
+        Peer client = connectedClient();
         client.say(job("c1", "safe"));
         client.close();
-        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        net.until("the client's disconnect", () -> node.counters.clientsDisconnected == 1);
         net.settle(50);
         assertEquals(0, node.counters.attemptsSent);
         assertEquals(0, node.counters.current());
@@ -99,32 +100,32 @@
         assertTrue(executor.isEmpty());
     }
 
-    /** The close waits in the kernel while the first attempt's end is told: no further one may begin. */
+    /** The first attempt ends while the client's close is still unread: no further attempt may begin. */
     @Test
     void clientDisconnectedBetweenAttemptsGetsNoFurtherOne() {
         startListed(SETTINGS, true);
-        while (executor.isEmpty() || other.isEmpty()) { // a connection to each stands ready
-            ask("w" + executor.size() + other.size(), "once", "30000m");
-            long before = written();
-            net.until("a hop", () -> written() > before);
+        while (executor.isEmpty() || otherExecutor.isEmpty()) { // until there is a connection to each executor
+            ask("w" + executor.size() + otherExecutor.size(), "once", "30000m");
+            long before = requestsWritten();
+            net.until("an attempt", () -> requestsWritten() > before);
         }
         executor.get(0).say(answer("202 Accepted", ""));
-        other.get(0).say(answer("202 Accepted", ""));
+        otherExecutor.get(0).say(answer("202 Accepted", ""));
         rested();
-        long before = written();
-        Peer client = connected().say(job("c1", "safe"));
-        net.until("the hop", () -> written() == before + 1);
+        long before = requestsWritten();
+        Peer client = connectedClient().say(job("c1", "safe"));
+        net.until("the attempt", () -> requestsWritten() == before + 1);
         Request request = node.engine.findRequest("c1");
         Attempt first = request.attemptAt(TARGET) != null ? request.attemptAt(TARGET) : request.attemptAt(0xbeefL);
         client.close();
-        node.engine.attemptEnded(first, Outcome.REJECTED, null, null); // before the loop has read the close
-        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        node.engine.attemptEnded(first, Outcome.REJECTED, null, null); // before the loop reads the close
+        net.until("the client's disconnect", () -> node.counters.clientsDisconnected == 1);
         net.settle(100);
-        assertEquals(before + 1, written());
+        assertEquals(before + 1, requestsWritten());
         assertNull(node.engine.findRequest("c1"));
     }
 
-    /** Where nothing may be cancelled an attempt that waits for a connection outlives its client. */
+    /** An attempt that waits for a connection is not sent after its client has left, with cancelling on or off. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void clientDisconnectedWhileAttemptIsQueuedGetsNoAttempt(boolean cancel) {
@@ -132,53 +133,53 @@
         for (int i = 0; i < CONNECTIONS; i++) {
             ask("c" + i, "once", "30000m");
         }
-        net.until("all connections busy", () -> written() == CONNECTIONS);
-        Peer last = connected().say(job("last", "once"));
-        net.until("its hop", () -> node.counters.attemptsSent == CONNECTIONS + 1);
+        net.until("all connections busy", () -> requestsWritten() == CONNECTIONS);
+        Peer last = connectedClient().say(job("last", "once"));
+        net.until("the dispatch of its attempt", () -> node.counters.attemptsSent == CONNECTIONS + 1);
         last.close();
-        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        net.until("the client's disconnect", () -> node.counters.clientsDisconnected == 1);
         executor.forEach(each -> each.say(answer("202 Accepted", "")));
         net.settle(100);
-        assertEquals(CONNECTIONS, written());
+        assertEquals(CONNECTIONS, requestsWritten());
         assertTrue(executor.stream().noneMatch(each -> each.heard().contains("X-Correlation-Id: last")));
     }
 
-    /** Behind its request so much has come that the buffer is full: the close behind that is noticed too. */
+    /** A client that has filled the read buffer behind its request and then closes is still detected. */
     @Test
     void disconnectBehindFullBufferIsDetected() {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
-        net.until("the hop", () -> written() == 1);
+        Peer client = connectedClient().say(job("c1", "once"));
+        net.until("the attempt", () -> requestsWritten() == 1);
         client.say(job("c2", "once").repeat(1500)); // 240 KB
-        net.until("all is out", () -> client.unwritten() == 0);
+        net.until("all bytes written", () -> client.unwritten() == 0);
         assertEquals(0, node.counters.clientsDisconnected);
         client.close();
-        net.until("the leaving", () -> node.counters.clientsDisconnected == 1);
+        net.until("the client's disconnect", () -> node.counters.clientsDisconnected == 1);
         assertEquals(1, node.counters.requestsAccepted);
     }
 
-    /** Who stays behind such a heap gets the answer to what was taken, and no more. */
+    /** A client that overflows the buffer and stays gets the response to its accepted request, then a close. */
     @Test
     void acceptedRequestIsAnsweredThoughBufferOverflowsBehindIt() {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
+        Peer client = connectedClient().say(job("c1", "once"));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         client.say(job("c2", "once").repeat(1500));
-        net.until("all is out", () -> client.unwritten() == 0);
-        net.settle(100); // and read
+        net.until("all bytes written", () -> client.unwritten() == 0);
+        net.settle(100); // the node reads them
         done("c1", "mine");
-        net.until("the answer and the end", () -> client.gone);
+        net.until("the response and the close", () -> client.gone);
         assertTrue(client.heard().startsWith("HTTP/1.1 200 OK"), client.heard());
         assertTrue(client.heard().endsWith("mine"), client.heard());
         assertTrue(client.heard().contains("Connection: close"));
         assertEquals(1, node.counters.requestsAccepted);
     }
 
-    /** The result lies unread as the deadline passes: both are seen in one turn, and the result wins. */
+    /** The result is still unread when the deadline passes: both are handled in one turn, and the result wins. */
     @Test
     void resultInTheTurnOfTheDeadlineIsServed() throws Exception {
         startListed(SETTINGS, false);
-        Peer caller = connected();
+        Peer caller = connectedClient();
         Peer client = ask("c1", "once", "600m");
         attempt(0, "c1").say(answer("202 Accepted", ""));
         net.settle(20);
@@ -187,7 +188,7 @@
         assertTrue(heard(client, "late").startsWith("HTTP/1.1 200"));
     }
 
-    /** Each of these is a call that failed; the next finds the list. */
+    /** Each of these responses fails the call; the next call gets the list. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -201,49 +202,49 @@
                 "{\"version\":\"x\"}",
                 "{\"version\":3,\"servers\":7}"
             })
-    void failedDiscoveryCallChangesNothingAndIsRetried(String how) {
-        node(SETTINGS);
+    void failedDiscoveryCallChangesNothingAndIsRetried(String response) {
+        startNode(SETTINGS);
         awaitDiscoveryCall(0, "");
         Peer first = discovery.get(0);
-        if (how.equals("reset")) {
+        if (response.equals("reset")) {
             first.close();
-        } else if (how.startsWith("HTTP/1.1 5")) {
-            first.say(how + "Content-Length: 0\r\n\r\n");
-        } else if (how.startsWith("{") || how.startsWith("[")) {
-            first.say(answer("200 OK", how));
+        } else if (response.startsWith("HTTP/1.1 5")) {
+            first.say(response + "Content-Length: 0\r\n\r\n");
+        } else if (response.startsWith("{") || response.startsWith("[")) {
+            first.say(answer("200 OK", response));
         } else {
-            first.say(how + (how.equals("nonsense") ? "\r\n\r\n" : ""));
+            first.say(response + (response.equals("nonsense") ? "\r\n\r\n" : ""));
         }
         long start = System.nanoTime();
         awaitDiscoveryCall(1, "GET /catalog/members HTTP/1.1");
         assertTrue(System.nanoTime() - start < 1_500_000_000L);
-        assertTrue(node.engine.routeTable().acceptsNewWork(TARGET), "by the list as last held");
+        assertTrue(node.engine.routeTable().acceptsNewWork(TARGET), "the cached list stays in effect");
         assertFalse(node.isSynced());
         discovery.get(1).say(answer("200 OK", list(9, "")));
         net.until("the list", () -> node.engine.routeTable().size() == 0);
     }
 
-    /** Whoever answers first has the word, and the others are hung up. */
+    /** The first response to parallel discovery calls is applied and cancels the other calls. */
     @Test
     void secondDiscoveryCallIsCancelledWhenTheFirstIsAnswered() {
-        node(SETTINGS);
+        startNode(SETTINGS);
         awaitDiscoveryCall(1, "");
         discovery.get(0).say(answer("200 OK", list(9, row("DRAINING"))));
         net.until("the list", () -> !node.engine.routeTable().acceptsNewWork(TARGET));
-        net.until("the other's end", () -> discovery.get(1).gone);
+        net.until("the close of the other call", () -> discovery.get(1).gone);
         awaitDiscoveryCall(0, "after=9&");
     }
 
-    /** The file names another address, and no signal says so: the node looks once the old one refuses. */
+    /** The file has a new address but no reload signal came: the node reloads it when the old one fails. */
     @Test
     void discoveryAddressChangeIsFoundWithoutSignal() throws Exception {
         startListed(SETTINGS, false);
-        List<Peer> moved = new ArrayList<>();
+        List<Peer> newAgent = new ArrayList<>();
         String settings = SETTINGS;
-        InetSocketAddress movedTo = net.standIn(moved);
+        InetSocketAddress newAddress = net.standIn(newAgent);
         node.reloadsFrom(() -> {
             try {
-                return config(movedTo, LISTEN, settings);
+                return config(newAddress, LISTEN, settings);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -252,14 +253,15 @@
         long start = System.nanoTime();
         discovery.get(0).close();
         net.until(
-                "a call there", () -> moved.size() == 1 && moved.get(0).heard().endsWith("\r\n\r\n"));
+                "a call to the new address",
+                () -> newAgent.size() == 1 && newAgent.get(0).heard().endsWith("\r\n\r\n"));
         assertTrue(System.nanoTime() - start < 4_000_000_000L);
-        assertTrue(moved.get(0).heard().startsWith("GET /catalog/members HTTP/1.1"), "the whole list");
+        assertTrue(newAgent.get(0).heard().startsWith("GET /catalog/members HTTP/1.1"), "asks for the full list");
     }
 
     @Test
-    void nodeIsReadyOnceSyncedAndNotByKnownList() {
-        node(SETTINGS);
+    void nodeIsReadyOnceSyncedAndNotByCachedList() {
+        startNode(SETTINGS);
         Peer early = client().say("GET /_health HTTP/1.1\r\n\r\n");
         assertTrue(heard(early, "ready\n").startsWith("HTTP/1.1 503"));
         awaitDiscoveryCall(0, "");
@@ -268,44 +270,47 @@
         assertTrue(node.ready());
     }
 
-    /** SIGTERM again, SIGHUP in the drain, discovery elsewhere, executors that drain: one end, in time. */
+    /** A second stop, a reload with a new discovery address and draining executors during the drain: one end. */
     @Test
     void repeatedSignalsDuringDrainAreHarmless() throws Exception {
         startListed(SETTINGS, false);
-        Peer client = connected().say(job("c1", "once"));
+        Peer client = connectedClient().say(job("c1", "once"));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         node.stop(() -> stopped = true);
-        node.stop(() -> fail("the end is told once"));
-        List<Peer> moved = new ArrayList<>();
-        node.reload(config(net.standIn(moved), LISTEN));
+        node.stop(() -> fail("the end is reported once"));
+        List<Peer> newAgent = new ArrayList<>();
+        node.reload(config(net.standIn(newAgent), LISTEN));
         net.until(
-                "a call there", () -> moved.size() == 1 && moved.get(0).heard().endsWith("\r\n\r\n"));
-        moved.get(0).say(answer("200 OK", list(1, row("DRAINING"))));
+                "a call to the new address",
+                () -> newAgent.size() == 1 && newAgent.get(0).heard().endsWith("\r\n\r\n"));
+        newAgent.get(0).say(answer("200 OK", list(1, row("DRAINING"))));
         net.until("the drain", () -> !node.engine.routeTable().acceptsNewWork(TARGET));
-        Peer late = connected().say(job("c2", "once"));
+        Peer late = connectedClient().say(job("c2", "once"));
         done("c1", "one");
         heard(client, "one");
-        net.until("nowhere to go", () -> late.heard().startsWith("HTTP/1.1 503"));
+        net.until(
+                "the refusal, since no executor accepts work",
+                () -> late.heard().startsWith("HTTP/1.1 503"));
         assertFalse(stopped);
-        net.until("the end", () -> stopped);
-        int calls = moved.size() + discovery.size();
-        node.reload(config(discoveryAt, LISTEN)); // after the end: nothing is opened again
+        net.until("the end of the shutdown", () -> stopped);
+        int calls = newAgent.size() + discovery.size();
+        node.reload(config(discoveryAt, LISTEN)); // after the end no connection is opened
         net.settle(300);
-        assertEquals(calls, moved.size() + discovery.size());
+        assertEquals(calls, newAgent.size() + discovery.size());
     }
 
-    /** A request comes on a resting connection in the moment in which that is closed: read first, taken. */
+    /** A request arrives on an idle connection as the node is about to close it: it is read and served. */
     @Test
     void requestOnIdleConnectionBeingClosedIsServed() {
         startListed(SETTINGS, false);
-        Peer resting = connected();
+        Peer idle = connectedClient();
         node.stop(() -> stopped = true);
-        net.until("the time to leave", node::isDraining); // the next look at resting connections closes it
-        resting.say(job("c1", "once"));
+        net.until("the drain", node::isDraining); // the next check of idle connections closes it
+        idle.say(job("c1", "once"));
         attempt(0, "c1").say(answer("202 Accepted", ""));
         done("c1", "through");
-        String got = heard(resting, "through");
-        assertTrue(got.startsWith("HTTP/1.1 200") && got.contains("Connection: close"), got);
-        net.until("the end", () -> stopped);
+        String response = heard(idle, "through");
+        assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("Connection: close"), response);
+        net.until("the end of the shutdown", () -> stopped);
     }
 }
--- a/src/test/java/beechseam/platform/RaceHarness.java
+++ b/src/test/java/beechseam/platform/RaceHarness.java
@@ -9,33 +9,34 @@
 /** A node and two executors for tests that force the order of events across connections. */
 abstract class RaceHarness extends NodeHarness {
     static final long TARGET = 0x0badcafeL;
-    static final int CONNECTIONS = 6; // to one executor, with the rig's 128 descriptors
+    static final int CONNECTIONS = 6; // limit per executor that follows from the harness's 128 sockets
 
-    final List<Peer> other = new ArrayList<>();
-    final InetSocketAddress otherAt = net.standIn(other);
+    final List<Peer> otherExecutor = new ArrayList<>();
+    final InetSocketAddress otherAddress = net.standIn(otherExecutor);
     PlatformNode node;
 
-    void node(String settings) {
+    void startNode(String settings) {
         node = newNode(settings);
     }
 
-    /** A node that has been told of the usual executor, and with {@code two} of another one. */
+    /** Starts a node whose list names the usual executor, and also the other one if {@code two}. */
     void startListed(String settings, boolean two) {
-        node(settings);
+        startNode(settings);
         awaitDiscoveryCall(0, "");
         discovery
                 .get(0)
                 .say(answer(
-                        "200 OK", list(2, row("SERVING") + (two ? "," + row("SERVING", "s-0000beef", otherAt) : ""))));
+                        "200 OK",
+                        list(2, row("SERVING") + (two ? "," + row("SERVING", "s-0000beef", otherAddress) : ""))));
         net.until("the list", () -> node.isSynced());
     }
 
-    void awaitDiscoveryCall(int line, String holds) {
+    void awaitDiscoveryCall(int connection, String expectedText) {
         net.until(
                 "a call to discovery",
-                () -> discovery.size() > line
-                        && discovery.get(line).heard().contains(holds)
-                        && discovery.get(line).heard().endsWith("\r\n\r\n"));
+                () -> discovery.size() > connection
+                        && discovery.get(connection).heard().contains(expectedText)
+                        && discovery.get(connection).heard().endsWith("\r\n\r\n"));
     }
 
     @Override
@@ -48,15 +49,15 @@
                 + "\r\nX-Time-Left: 30000m\r\nIdempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody";
     }
 
-    /** A client that is connected, and that the node has accepted. */
-    Peer connected() {
+    /** Returns a client whose connection the node has accepted. */
+    Peer connectedClient() {
         Peer peer = client().say("GET /_health HTTP/1.1\r\n\r\n");
-        net.until("the health", () -> peer.heard().endsWith("y\n"));
+        net.until("the health response", () -> peer.heard().endsWith("y\n"));
         peer.take();
         return peer;
     }
 
-    long written() {
+    long requestsWritten() {
         return node.counters.of(0).written + node.counters.of(1).written + node.counters.of(2).written;
     }
 }
--- a/src/test/java/beechseam/platform/RouteTableFreshnessTest.java
+++ b/src/test/java/beechseam/platform/RouteTableFreshnessTest.java
@@ -7,7 +7,7 @@
 import beechseam.platform.RouteTableFreshness.State;
 import org.junit.jupiter.api.Test;
 
-/** Freshness of the route table in virtual time, for a process that may stall. */
+/** Freshness of the route table in virtual time, also in a process that stalls. */
 class RouteTableFreshnessTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final long STALL = 150 * MILLISECOND;
@@ -24,7 +24,7 @@
                 recheckCount++;
                 callStartedAt = now;
             });
-    /** What the next read of the sockets does; null if nothing is unread. */
+    /** Action of the next read of the sockets; null if nothing is unread. */
     private Runnable unread;
 
     RouteTableFreshnessTest() {
@@ -52,7 +52,7 @@
         now = end;
     }
 
-    /** The process does not run for this time, and then fires the timers that are due. */
+    /** Stops the process for this time, then fires the timers that are due. */
     private void stall(long durationNs) {
         now += durationNs;
         for (Timer due = timers.due(now); due != null; due = timers.due(now)) {
@@ -87,10 +87,10 @@
         assertEquals(1, openCount);
         assertTrue(freshness.onResponse(callStartedAt, 0));
         assertEquals(State.CONFIRMED, freshness.state());
-        assertEquals(1, openCount, "it was open");
+        assertEquals(1, openCount, "the gate was already open");
     }
 
-    /** The clock alone does not count: a process that did not run could not read a response. */
+    /** Time in which the process did not run does not count, since it could not read a response then. */
     @Test
     void responseTimeoutDoesNotElapseDuringStall() {
         stall(10 * RESPONSE_TIMEOUT);
@@ -103,7 +103,7 @@
         assertTrue(freshness.open());
     }
 
-    /** The response lies unread in the socket at the timeout. */
+    /** The response is still unread in the socket when the timeout expires. */
     @Test
     void unreadResponseIsReadBeforeTimeout() {
         run(RESPONSE_TIMEOUT - 10 * MILLISECOND);
@@ -112,7 +112,7 @@
         assertEquals(State.CONFIRMED, freshness.state());
     }
 
-    /** An idle process is not a stalled one. */
+    /** An idle process does not count as stalled. */
     @Test
     void staysOpenWithoutStall() {
         confirm();
@@ -127,25 +127,25 @@
     void closesAfterStallUntilResponseToLaterCall() {
         confirm();
         run(500 * MILLISECOND);
-        now += STALL + MILLISECOND; // stalled, and then a request is handled first
+        now += STALL + MILLISECOND; // a stall, after which a request is handled first
         assertFalse(freshness.open());
         assertEquals(1, recheckCount);
         assertFalse(
                 freshness.onResponse(callStartedAt - 400 * MILLISECOND, 0),
-                "an answer to a call from before the stall");
+                "a response to a call from before the stall");
         assertFalse(freshness.open());
         now += MILLISECOND;
         assertTrue(freshness.onResponse(callStartedAt, 0));
         assertTrue(freshness.open());
     }
 
-    /** A list that lay unread during the stall is applied, but later changes are unknown. */
+    /** A list that was unread during the stall is applied, but later changes are unknown. */
     @Test
     void responseUnreadDuringStallDoesNotConfirm() {
         confirm();
         run(500 * MILLISECOND);
         unread = () -> {
-            assertFalse(freshness.open(), "nothing is sent while it is read");
+            assertFalse(freshness.open(), "the gate stays closed during the read");
             assertFalse(freshness.onResponse(now - 2000 * MILLISECOND, 0));
         };
         stall(1000 * MILLISECOND);
@@ -166,7 +166,7 @@
         assertTrue(freshness.onResponse(now, 0));
     }
 
-    /** A long list over a slow connection: changes during its transfer are requested before it counts. */
+    /** A long list on a slow connection does not confirm the table before changes during its transfer are known. */
     @Test
     void slowlyReceivedListDoesNotConfirm() {
         run(900 * MILLISECOND);
@@ -177,7 +177,7 @@
         assertTrue(freshness.onResponse(callStartedAt, now - STALL));
     }
 
-    /** During an outage of discovery the cached list is used, however often the process stalls. */
+    /** During an outage of discovery the cached list stays in use after a stall of the process. */
     @Test
     void staysOpenAfterStallDuringDiscoveryOutage() {
         run(2 * RESPONSE_TIMEOUT);
@@ -185,7 +185,7 @@
         stall(1000 * MILLISECOND);
         assertTrue(freshness.open());
         assertEquals(0, recheckCount);
-        unread = () -> {}; // recovery: a part of a response, of unknown age
+        unread = () -> {}; // discovery recovers: part of a response, of unknown age
         stall(1000 * MILLISECOND);
         assertFalse(freshness.open());
         assertEquals(1, recheckCount);
@@ -195,11 +195,11 @@
     void addressChangeClosesAndRestartsResponseTimeout() {
         confirm();
         run(300 * MILLISECOND);
-        long before = callStartedAt;
+        long earlierCallAt = callStartedAt;
         freshness.addressChanged();
         callStartedAt = now;
         assertFalse(freshness.open());
-        assertFalse(freshness.onResponse(before, 0));
+        assertFalse(freshness.onResponse(earlierCallAt, 0));
         assertEquals(RESPONSE_TIMEOUT, freshness.opensWithinNs());
         run(RESPONSE_TIMEOUT - HEARTBEAT);
         assertFalse(freshness.open());
--- a/src/test/java/beechseam/platform/RouteTableGateTest.java
+++ b/src/test/java/beechseam/platform/RouteTableGateTest.java
@@ -15,7 +15,7 @@
 
 /**
  * No attempt is sent by a route table that may be stale: after a start, a change of discovery's address, or a
- * stall of the process. The test runs the event loop, so that what it does not read stays unread.
+ * stall of the process. The test drives the event loop, so data stays unread until it turns the loop.
  */
 class RouteTableGateTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
@@ -62,8 +62,8 @@
         return list(version, "").replace("true", "false");
     }
 
-    /** After a stall a call that does not wait is made, and the request is sent by its response only. */
-    private void pollsAfterStallBeforeSending() {
+    /** Asserts that after a stall the node polls discovery without waiting and sends only by the response. */
+    private void assertPollsAfterStallBeforeSending() {
         stall(STALL_MS);
         submit("c1");
         assertEquals(0, node.counters.attemptsSent);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Submits a request as from a connection that is read before discovery's. */
+    /** Submits a request as if its connection were read before that of discovery. */
     private void submit(String id) {
         submit(node, id);
     }
@@ -103,13 +103,13 @@
         target.engine.submit(id, 0, 30_000_000_000L, 1, 0, message, new IgnoredReply());
     }
 
-    /** The only attempt is sent to the executor that is not draining. */
+    /** Asserts that the only attempt is sent to the executor that is not draining. */
     private void assertSentToOther(String id) {
         net.until(
                 "the attempt",
                 () -> !otherExecutor.isEmpty() && otherExecutor.get(0).heard().contains(id));
         net.settle(30);
-        assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")), "sent by the old list");
+        assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")), "no attempt by the old list");
         assertEquals(1, node.counters.attemptsSent);
     }
 
@@ -153,7 +153,7 @@
         assertEquals(0, node.counters.attemptsSent);
     }
 
-    /** By the clock the response timeout is over, but the process did not run: the response lies unread. */
+    /** The response timeout has passed while the process did not run, and the response is still unread. */
     @Test
     void starvedStartReadsListBeforeUsingCachedOne() {
         start();
@@ -166,7 +166,7 @@
         assertSentToOther("c1");
     }
 
-    /** The same with nothing read at all: even the call may not have been sent. */
+    /** The process is starved before it reads anything; it may not even have sent the call. */
     @Test
     void responseTimeoutDoesNotElapseDuringStarvedStart() {
         start();
@@ -206,13 +206,13 @@
         net.settle(100);
         assertEquals(0, node.counters.attemptsSent);
         assertEquals("", client.heard());
-        assertTrue(node.ready(), "a node that has served stays ready");
+        assertTrue(node.ready(), "a node that was ready stays ready");
         awaitPoll(newAgent, 0, "");
         respond(newAgent, 0, drainedList());
         assertSentToOther("c1");
     }
 
-    /** A list and a request have arrived during the stall, and the request is handled first. */
+    /** A list and a request arrive during the stall, and the request is handled first. */
     @Test
     void stalledProcessReadsListBeforeSending() {
         startListed();
@@ -226,19 +226,19 @@
         assertSentToOther("c1");
     }
 
-    /** The watch ended without a change, and later changes have not been requested. */
+    /** The watch ended without a change during the stall, and later changes have not been requested. */
     @Test
     void stalledProcessPollsDiscoveryBeforeSending() {
         startListed();
         respond(discovery, 0, emptyDelta(2));
-        pollsAfterStallBeforeSending();
+        assertPollsAfterStallBeforeSending();
     }
 
-    /** The watch is still pending, but it is unknown whether it was so throughout the stall. */
+    /** The watch is still pending after the stall, but discovery may have ended it without the node noticing. */
     @Test
     void stalledProcessPollsBesidePendingWatch() {
         startListed();
-        pollsAfterStallBeforeSending();
+        assertPollsAfterStallBeforeSending();
     }
 
     /** The attempt was dispatched before the stall and waits for its connection. */
@@ -260,7 +260,7 @@
         assertTrue(executor.stream().noneMatch(each -> each.heard().contains("POST")));
     }
 
-    /** A successor process sends by its own list, not by that of its predecessor. */
+    /** A successor process sends by the list that it has received itself, not by its predecessor's. */
     @Test
     void successorSendsNothingBeforeItsOwnList() throws Exception {
         String state = java.nio.file.Files.createTempDirectory("gate").toString();
--- a/src/test/java/beechseam/platform/ServerStartTimesTest.java
+++ b/src/test/java/beechseam/platform/ServerStartTimesTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Start times on the steady clock while the wall clocks of discovery and of the node are stepped. */
+/** Start times on the steady clock when the wall clocks of discovery and of the node are stepped. */
 class ServerStartTimesTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1000 * MILLISECOND;
     private static final long LONG_GAP = ServerStartTimes.MAX_CONSECUTIVE_GAP_NS + 5 * SECOND;
 
-    /** The node's clocks; lists are dated by the same wall clock plus {@code listStepMs}. */
+    /** The node's steady clock. Its wall clock adds {@code nodeStepMs}, the one of lists {@code listStepMs}. */
     private long now = 500 * SECOND;
 
     private long nodeStepMs;
@@ -40,10 +40,11 @@
     void firstListIsDatedByWallClock() {
         times.beginUpdate(true);
         assertEquals(now - 3 * SECOND, times.startedAtNs(server("a", date() - 3000)));
-        assertEquals(now, times.startedAtNs(server("b", date() + 3_600_000)), "ahead: it may have started just now");
+        assertEquals(now, times.startedAtNs(server("b", date() + 3_600_000)), "a date in the future counts as now");
         assertEquals(0, times.startedAtNs(server("c", 0)), "long ago");
-        assertEquals(now - 3 * SECOND, listed("a", date() - 3000), "as held");
-        assertEquals(now - 2 * SECOND, times.startedAtNs(server("d", date() - 2000)), "on the same list");
+        assertEquals(now - 3 * SECOND, listed("a", date() - 3000), "the time assigned before");
+        assertEquals(
+                now - 2 * SECOND, times.startedAtNs(server("d", date() - 2000)), "another server on the same list");
     }
 
     @ParameterizedTest
@@ -55,7 +56,7 @@
         long date = date() - 400;
         long first = now;
         assertEquals(first, listed("a", date));
-        assertEquals(first, listed("new", date), "and so is one that was not listed");
+        assertEquals(first, listed("new", date), "also for a server that was not listed before");
         now += SECOND;
         nodeStepMs = stepMs;
         assertEquals(first, listed("a", date), "the same date is the same start");
@@ -71,7 +72,7 @@
         long at = now - 2 * SECOND;
         assertEquals(at, listed("a", at / MILLISECOND));
         now += LONG_GAP;
-        assertEquals(now, listed("b", before / MILLISECOND), "it was not listed then");
+        assertEquals(now, listed("b", before / MILLISECOND), "a date before the gap: the server was not listed then");
     }
 
     @ParameterizedTest
@@ -82,7 +83,10 @@
         nodeStepMs = stepMs;
         assertEquals(now, listed("a", date() - 4000));
         now += LONG_GAP;
-        assertEquals(now - 2 * SECOND, listed("a", now / MILLISECOND + stepMs - 2000), "stepped alike, and for good");
+        assertEquals(
+                now - 2 * SECOND,
+                listed("a", now / MILLISECOND + stepMs - 2000),
+                "the clock has not been stepped again");
     }
 
     @Test
@@ -100,6 +104,6 @@
 
     @Test
     void dateBeforeSteadyClockOriginIsNotZero() {
-        assertEquals(1, listed("a", 1 - 3_600_000), "and not 0, which stands for no date");
+        assertEquals(1, listed("a", 1 - 3_600_000), "not 0, which means long ago");
     }
 }
--- a/src/test/java/beechseam/platform/SystemFaultsTest.java
+++ b/src/test/java/beechseam/platform/SystemFaultsTest.java
@@ -18,20 +18,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole program while calls of the system fail for a time, and while the wall clock is stepped. */
+/** Runs the whole program while system calls fail for a time, and while the wall clock is stepped. */
 @EnabledIf("beechseam.platform.FaultControl#available")
 class SystemFaultsTest extends ProgramHarness {
     private static final long HOUR_MS = 3_600_000;
-    private static final String SECOND = "s-0000beef";
+    private static final String OTHER_ID = "s-0000beef";
     private static final int BURST = 24;
-    /** An executor of the rig is warm so long after its start, with the time that its budget counts over. */
-    private static final long WARM_MS = 2_300;
+    /** Duration of the slow start of the harness's executors, with the period over which the budget counts. */
+    private static final long WARM_UP_MS = 2_300;
 
     @TempDir
     private Path dir;
 
-    private final List<Peer> other = new ArrayList<>();
-    private final InetSocketAddress otherAt = net.standIn(other);
+    private final List<Peer> otherExecutor = new ArrayList<>();
+    private final InetSocketAddress otherAddress = net.standIn(otherExecutor);
     private FaultControl faults;
     private Process program;
     private int jobs;
@@ -56,16 +56,16 @@
         return agent;
     }
 
-    private String rows(long secondStartedMs) {
-        return row("SERVING") + "," + second(secondStartedMs);
+    private String rows(long otherStartedMs) {
+        return row("SERVING") + "," + otherEntry(otherStartedMs);
     }
 
-    private String second(long startedMs) {
-        return row("SERVING", SECOND, otherAt).replace("\"started_ms\":0", "\"started_ms\":" + startedMs);
+    private String otherEntry(long startedMs) {
+        return row("SERVING", OTHER_ID, otherAddress).replace("\"started_ms\":0", "\"started_ms\":" + startedMs);
     }
 
-    /** Hands in jobs at once that all run on, and gives how many of them the second executor has got. */
-    private int burst() {
+    /** Submits jobs at once, none of which ends; returns how many of them the other executor has received. */
+    private int submitBurst() {
         int first = jobs;
         for (int i = 0; i < BURST; i++) {
             ask("b" + jobs++, "once", "900m");
@@ -74,18 +74,18 @@
         int count = 0;
         for (int i = first; i < jobs; i++) {
             String id = "X-Correlation-Id: b" + i + "\r\n";
-            count += other.stream().anyMatch(peer -> peer.heard().contains(id)) ? 1 : 0;
+            count += otherExecutor.stream().anyMatch(peer -> peer.heard().contains(id)) ? 1 : 0;
         }
         return count;
     }
 
-    private void restartSecond(Peer agent, int version, long startedMs) {
+    private void restartOther(Peer agent, int version, long startedMs) {
         agent.take();
-        agent.say(answer("200 OK", list(version, second(startedMs)).replace("true", "false")));
+        agent.say(answer("200 OK", list(version, otherEntry(startedMs)).replace("true", "false")));
         net.until("the next watch", () -> agent.heard().contains("after=" + version + "&"));
     }
 
-    /** The second executor restarts when the wall clock of the lists, of the node or of both has moved. */
+    /** The other executor restarts after the wall clock of the lists, of the node or of both has been stepped. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -99,22 +99,22 @@
                 "1500,-1500",
                 "0,0"
             })
-    void restartedExecutorWarmsUpWhateverTheWallClocksDo(String steps) throws Exception {
+    void restartedExecutorWarmsUpDespiteWallClockSteps(String steps) throws Exception {
         Peer agent = serve();
         long stepOfNode = Long.parseLong(steps.split(",")[0]);
         long stepOfLists = Long.parseLong(steps.split(",")[1]);
-        int before = burst();
+        int before = submitBurst();
         net.settle(1000);
         faults.stepClock(stepOfNode);
-        restartSecond(agent, 3, System.currentTimeMillis() + stepOfLists);
-        int cold = burst();
-        net.settle(WARM_MS);
-        int warm = burst();
-        assertTrue(cold <= before / 2, "cold it got " + cold + ", before " + before);
-        assertTrue(warm >= before / 2, "warm it got " + warm + ", before " + before);
+        restartOther(agent, 3, System.currentTimeMillis() + stepOfLists);
+        int cold = submitBurst();
+        net.settle(WARM_UP_MS);
+        int warm = submitBurst();
+        assertTrue(cold <= before / 2, "after the restart it got " + cold + ", before " + before);
+        assertTrue(warm >= before / 2, "after the slow start it got " + warm + ", before " + before);
     }
 
-    /** Without a descriptor to spare nobody can be accepted: that costs no core and fills no log. */
+    /** Accepts that fail for lack of descriptors or memory are retried without a busy loop or a flood of logs. */
     @ParameterizedTest
     @ValueSource(longs = {FaultControl.EMFILE, FaultControl.ENOBUFS})
     void failedAcceptsAreRetriedWithBackoff(long error) throws Exception {
@@ -126,17 +126,19 @@
         assertTrue(failed >= 2 && failed <= 100, failed + " accepts failed");
         assertTrue(Files.readString(dir.resolve("log")).lines().count() < 40);
         faults.failAccept(0);
-        long begun = System.nanoTime();
-        net.until("the attempt", () -> executor.size() + other.size() > 0);
-        assertTrue(System.nanoTime() - begun < 500_000_000L, "the pause is short beside a client's patience");
+        long restoredAt = System.nanoTime();
+        net.until("the attempt", () -> executor.size() + otherExecutor.size() > 0);
+        assertTrue(
+                System.nanoTime() - restoredAt < 500_000_000L,
+                "the retry pause is short compared to a client's timeout");
         assertEquals("", client.heard());
         net.until(
-                "the attempt whole",
-                () -> Stream.concat(executor.stream(), other.stream())
+                "the complete attempt",
+                () -> Stream.concat(executor.stream(), otherExecutor.stream())
                         .anyMatch(peer -> peer.heard().endsWith("\r\n\r\nbody")));
     }
 
-    /** A moment without descriptors is no fault of the executors: the request waits for one. */
+    /** A shortage of descriptors is not a fault of the executors: the request waits for a free one. */
     @Test
     void attemptWaitsWhileNoSocketCanBeOpened() throws Exception {
         serve();
@@ -151,16 +153,16 @@
         assertAttemptWaitsUntil(() -> faults.failConnect(0));
     }
 
-    private void assertAttemptWaitsUntil(Runnable mended) {
+    private void assertAttemptWaitsUntil(Runnable endFault) {
         Peer client = ask("c1", "once", "20000m");
         net.settle(600);
-        assertEquals("", client.heard(), "neither refused nor failed");
-        mended.run();
-        net.until("the attempt", () -> executor.size() + other.size() == 1);
+        assertEquals("", client.heard(), "neither shed nor failed");
+        endFault.run();
+        net.until("the attempt", () -> executor.size() + otherExecutor.size() == 1);
         assertTrue(faults.failed() >= 2 && faults.failed() <= 60, faults.failed() + " calls failed");
     }
 
-    /** That may be the executors' fault: what never ran is refused, and later jobs are served again. */
+    /** These errors may be the executors' fault: a job that never ran is shed, and later jobs are sent again. */
     @ParameterizedTest
     @ValueSource(longs = {FaultControl.ENETUNREACH, FaultControl.EHOSTUNREACH, FaultControl.ETIMEDOUT})
     void temporarilyUnreachableExecutorsLoseNothing(long error) throws Exception {
@@ -170,7 +172,7 @@
         net.until("an answer", () -> client.heard().contains("\r\n\r\n"));
         assertTrue(client.heard().startsWith("HTTP/1.1 503"), client.heard());
         faults.failConnect(0);
-        for (int i = 2; executor.isEmpty() && other.isEmpty(); i++) {
+        for (int i = 2; executor.isEmpty() && otherExecutor.isEmpty(); i++) {
             ask("c" + i, "once", "1500m");
             net.settle(200);
         }
--- a/src/test/resources/beechseam/platform/faults.c
+++ b/src/test/resources/beechseam/platform/faults.c
@@ -1,6 +1,6 @@
 /*
- * Preloaded into the program under test: makes calls of the system fail and steps the wall clock, as a control
- * file says that the test maps too. The monotonic clock is left alone.
+ * Preloaded into the program under test. Makes system calls fail and steps the wall clock, as set in a control
+ * file that the test also maps into memory. The monotonic clock is not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -15,7 +15,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The layout is that of FaultControl.java. */
+/* Must have the layout that FaultControl.java writes. */
 struct control {
     volatile int64_t step_ns;
     volatile int64_t accept_errno;
