--- a/src/test/java/beechseam/platform/RouteTableGateTest.java
+++ b/src/test/java/beechseam/platform/RouteTableGateTest.java
@@ -15,7 +15,7 @@
 
 /**
  * No attempt is sent by a route table that may be stale: after a start, a change of discovery's address, or a
- * stall of the process. The test runs the event loop, so that what it does not read stays unread.
+ * stall of the process. The test drives the event loop, so data stays unread until it turns the loop.
  */
 class RouteTableGateTest extends NodeHarness {
     private static final String LISTEN = "\"listen\":\"127.0.0.1:0\",";
@@ -62,8 +62,8 @@
         return list(version, "").replace("true", "false");
     }
 
-    /** After a stall a call that does not wait is made, and the request is sent by its response only. */
-    private void pollsAfterStallBeforeSending() {
+    /** Asserts that after a stall the node polls discovery without waiting and sends only by the response. */
+    private void assertPollsAfterStallBeforeSending() {
         stall(STALL_MS);
         submit("c1");
         assertEquals(0, node.counters.attemptsSent);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Submits a request as from a connection that is read before discovery's. */
+    /** Submits a request as if its connection were read before that of discovery. */
     private void submit(String id) {
         submit(node, id);
     }
@@ -103,14 +103,16 @@
         target.engine.submit(id, 0, 30_000_000_000L, 1, 0, message, new IgnoredReply());
     }
 
-    /** The only attempt is sent to the executor that is not draining. */
+    /** Asserts that the only attempt is sent to the executor that is not draining. */
     private void assertSentToOther(String id) {
         net.until(
                 "the attempt",
                 () -> !otherExecutor.isEmpty()
                         && otherExecutor.get(0).receivedText().contains(id));
         net.settle(30);
-        assertTrue(executor.stream().noneMatch(each -> each.receivedText().contains("POST")), "sent by the old list");
+        assertTrue(
+                executor.stream().noneMatch(each -> each.receivedText().contains("POST")),
+                "no attempt by the old list");
         assertEquals(1, node.counters.attemptsSent);
     }
 
@@ -118,7 +120,7 @@
     @ValueSource(booleans = {false, true})
     void requestBeforeFirstListIsDeferredAndSentByThatList(boolean drained) {
         start();
-        Peer client = ask("c1", "safe", "30000m");
+        Peer client = sendJob("c1", "safe", "30000m");
         net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
         assertEquals(0, node.counters.attemptsSent);
@@ -135,7 +137,7 @@
     void requestsAreSentByCachedListAfterResponseTimeout() {
         start();
         long startedAt = System.nanoTime();
-        ask("c1", "safe", "30000m");
+        sendJob("c1", "safe", "30000m");
         attempt(0, "c1");
         assertTrue(System.nanoTime() - startedAt > ListWatch.RESPONSE_TIMEOUT_NS * 8 / 10);
         assertEquals(RouteTableFreshness.State.UNCONFIRMED, node.routeTable());
@@ -145,7 +147,7 @@
     @Test
     void requestWithShortDeadlineIsShedWithRetryAfter() {
         start();
-        Peer client = ask("c1", "safe", "200m");
+        Peer client = sendJob("c1", "safe", "200m");
         net.until(
                 "the refusal",
                 () -> client.receivedText().endsWith("\n")
@@ -155,7 +157,7 @@
         assertEquals(0, node.counters.attemptsSent);
     }
 
-    /** By the clock the response timeout is over, but the process did not run: the response lies unread. */
+    /** The response timeout has passed while the process did not run, and the response is still unread. */
     @Test
     void starvedStartReadsListBeforeUsingCachedOne() {
         start();
@@ -168,7 +170,7 @@
         assertSentToOther("c1");
     }
 
-    /** The same with nothing read at all: even the call may not have been sent. */
+    /** The process is starved before it reads anything; it may not even have sent the call. */
     @Test
     void responseTimeoutDoesNotElapseDuringStarvedStart() {
         start();
@@ -186,16 +188,16 @@
     void stateIsReportedByHealthAndAdminEndpoint() throws IOException {
         start();
         Peer probe = client().send("GET /_health HTTP/1.1\r\n\r\n");
-        String waiting = heard(probe, "ready\n");
+        String waiting = awaitResponse(probe, "ready\n");
         assertTrue(waiting.startsWith("HTTP/1.1 503"), waiting);
         assertTrue(waiting.contains("X-Route-Table: awaited\r\n"), waiting);
-        assertEquals("ERR waiting for discovery's list\n", operator(node.console(), "status"));
+        assertEquals("ERR waiting for discovery's list\n", callAdmin(node.console(), "status"));
         respond(discovery, 0, list(2, row("SERVING")));
         net.until("the list", () -> node.isSynced());
         probe.send("GET /_health HTTP/1.1\r\n\r\n");
-        String ready = heard(probe, "ready\n");
+        String ready = awaitResponse(probe, "ready\n");
         assertTrue(ready.startsWith("HTTP/1.1 200") && ready.contains("X-Route-Table: confirmed\r\n"), ready);
-        assertEquals("OK\n", operator(node.console(), "status"));
+        assertEquals("OK\n", callAdmin(node.console(), "status"));
     }
 
     @Test
@@ -203,18 +205,18 @@
         startListed();
         List<Peer> newAgent = new ArrayList<>();
         node.reload(config(net.listen(newAgent), LISTEN));
-        Peer client = ask("c1", "safe", "30000m");
+        Peer client = sendJob("c1", "safe", "30000m");
         net.until("the request", () -> node.counters.requestsAccepted == 1);
         net.settle(100);
         assertEquals(0, node.counters.attemptsSent);
         assertEquals("", client.receivedText());
-        assertTrue(node.ready(), "a node that has served stays ready");
+        assertTrue(node.ready(), "a node that was ready stays ready");
         awaitPoll(newAgent, 0, "");
         respond(newAgent, 0, drainedList());
         assertSentToOther("c1");
     }
 
-    /** A list and a request have arrived during the stall, and the request is handled first. */
+    /** A list and a request arrive during the stall, and the request is handled first. */
     @Test
     void stalledProcessReadsListBeforeSending() {
         startListed();
@@ -228,19 +230,19 @@
         assertSentToOther("c1");
     }
 
-    /** The watch ended without a change, and later changes have not been requested. */
+    /** The watch ended without a change during the stall, and later changes have not been requested. */
     @Test
     void stalledProcessPollsDiscoveryBeforeSending() {
         startListed();
         respond(discovery, 0, emptyDelta(2));
-        pollsAfterStallBeforeSending();
+        assertPollsAfterStallBeforeSending();
     }
 
-    /** The watch is still pending, but it is unknown whether it was so throughout the stall. */
+    /** The watch is still pending after the stall, but discovery may have ended it without the node noticing. */
     @Test
     void stalledProcessPollsBesidePendingWatch() {
         startListed();
-        pollsAfterStallBeforeSending();
+        assertPollsAfterStallBeforeSending();
     }
 
     /** The attempt was dispatched before the stall and waits for its connection. */
@@ -263,7 +265,7 @@
         assertTrue(executor.stream().noneMatch(each -> each.receivedText().contains("POST")));
     }
 
-    /** A successor process sends by its own list, not by that of its predecessor. */
+    /** A successor process sends by the list that it has received itself, not by its predecessor's. */
     @Test
     void successorSendsNothingBeforeItsOwnList() throws Exception {
         String state = java.nio.file.Files.createTempDirectory("gate").toString();
