--- a/src/main/java/beechseam/platform/Callbacks.java
+++ b/src/main/java/beechseam/platform/Callbacks.java
@@ -14,28 +14,31 @@
 import java.util.function.Predicate;
 
 /**
- * The events that executors post about jobs, directly or by way of another process of this node. An event may
- * come before the 202, twice, late, or for a request that is long forgotten: one that matches no attempt in
- * flight at its sender is acknowledged and ignored.
+ * Handles the events that executors post about jobs, directly or through another process of this node. An event may
+ * arrive before the 202 response, repeatedly, late, or for a request that is no longer known. An event that matches
+ * no attempt in flight at its sender is acknowledged and ignored.
  */
 final class Callbacks {
     private final Engine engine;
     private final ModuleOptions options;
     private final Predicate<Slice> forwardToPeer;
 
-    /** {@code forwardToPeer} sends an event to the other processes of this node; false where there is none. */
+    /** {@code forwardToPeer} sends an event to the node's other processes and returns false if there are none. */
     Callbacks(Engine engine, ModuleOptions options, Predicate<Slice> forwardToPeer) {
         this.engine = engine;
         this.options = options;
         this.forwardToPeer = forwardToPeer;
     }
 
-    /** Handles an event from an executor; false where the body is none. A job unknown here may be a peer's. */
+    /**
+     * Handles an event from an executor and returns whether the body is a valid event. An event about a job unknown to
+     * this process is forwarded to its peers.
+     */
     boolean handle(Slice body) {
         return handle(body, true);
     }
 
-    /** Handles an event that another process had no job for: it is not forwarded again. */
+    /** Handles an event forwarded by a process that does not know its job; it is not forwarded again. */
     void handleForwarded(Slice body) {
         handle(body, false);
     }
@@ -79,7 +82,7 @@
             case "failed" -> engine.attemptEnded(attempt, Outcome.ERROR, null, load);
             case "returned" -> engine.attemptEnded(attempt, Outcome.REJECTED, null, load);
             case "lost" -> engine.attemptEnded(attempt, Outcome.LOST, null, load);
-            default -> {} // a state of a later version of the protocol
+            default -> {} // ignores states of later protocol versions
         }
     }
 
--- a/src/main/java/beechseam/platform/DrainController.java
+++ b/src/main/java/beechseam/platform/DrainController.java
@@ -6,28 +6,28 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Sends clients away from a node: on standby, which may be reversed, and at the planned end of its process,
- * which may not. Either sets a {@link DrainSchedule}; a timer then closes idle connections as the schedule says
- * and, at the end of the process, closes the node once nothing is open.
+ * Drains clients from a node: during standby, which can be reversed, and during the shutdown of its process, which
+ * cannot. Both set a {@link DrainSchedule}. A timer then closes idle connections by that schedule and, during
+ * shutdown, closes the node once no request and no connection is open.
  *
- * <p>At the end clients that are connected are served as ever until shortly before the platform kills the
- * process, since they have nowhere to go before; or, where a successor process accepts connections, are sent
- * there at once. Every request that was read is answered before the kill.
+ * <p>During shutdown, connected clients are served as usual until shortly before the platform kills the process,
+ * because the other nodes may be restarting as well and unable to take them. If a successor process accepts
+ * connections, the clients are sent there at once. Every request that was read is answered before the kill.
  */
 final class DrainController {
     private static final Logger LOG = System.getLogger(DrainController.class.getName());
 
     /**
-     * The platform kills a node so long after SIGTERM and the longest deadline, which counts as
-     * {@link #MAX_COUNTED_DEADLINE_NS} at most. The last responses leave {@link #KILL_MARGIN_NS} before, and
-     * clients are sent away {@link #LAST_REQUEST_NS} before these.
+     * The platform kills a node after SIGTERM when this time plus the longest deadline has passed; of the deadline, at
+     * most {@link #MAX_COUNTED_DEADLINE_NS} counts. The last responses are sent {@link #KILL_MARGIN_NS} before the
+     * kill, and clients are drained {@link #LAST_REQUEST_MARGIN_NS} before the last responses.
      */
     private static final long KILL_DELAY_NS = 700_000_000L;
 
     private static final long MAX_COUNTED_DEADLINE_NS = 3_000_000_000L;
     private static final long KILL_MARGIN_NS = 300_000_000L;
-    private static final long LAST_REQUEST_NS = 1_000_000_000L;
-    /** So long after SIGTERM new connections come, and clients that are sent away could come back here. */
+    private static final long LAST_REQUEST_MARGIN_NS = 1_000_000_000L;
+    /** For this long after SIGTERM new connections still arrive, and a drained client could reconnect to this node. */
     private static final long NEW_CONNECTIONS_NS = 400_000_000L;
 
     private static final long CHECK_INTERVAL_NS = 20_000_000L;
@@ -35,7 +35,7 @@
     private final PlatformNode node;
     private DrainSchedule schedule = DrainSchedule.NONE;
     private boolean stopping;
-    /** Run once the node is closed; null until the end begins. */
+    /** Run once the node is closed; null until the shutdown begins. */
     private Runnable onClosed;
 
     private final Timer check = new Timer() {
@@ -49,7 +49,7 @@
         this.node = node;
     }
 
-    /** Whether the planned end of the process has begun. */
+    /** Whether the shutdown of the process has begun. */
     boolean stopping() {
         return stopping;
     }
@@ -59,22 +59,25 @@
         return !stopping && schedule != DrainSchedule.NONE;
     }
 
-    /** Whether clients are sent away: not yet at SIGTERM, for the other nodes may be restarting as well. */
+    /**
+     * Whether responses to clients close their connections. Without a successor process this begins only some time
+     * after SIGTERM, because the other nodes may be restarting as well.
+     */
     boolean isDraining() {
-        return node.loop.now() >= schedule.leavesAt();
+        return node.loop.now() >= schedule.drainsAt();
     }
 
-    /** The same for a connection that has carried call-backs. */
+    /** Whether responses on connections that have carried callbacks close these connections. */
     boolean isDrainingCallbacks() {
         return isDraining() && !schedule.sparesCallbacks();
     }
 
-    /** Whether further jobs are shed. */
+    /** Whether new jobs are shed. */
     boolean shedsNewJobs() {
         return node.loop.now() >= schedule.shedsAt();
     }
 
-    /** Sets or ends standby; returns whether that changed anything. Not for a node that is stopping. */
+    /** Begins or ends standby and returns whether that changed anything. Must not be called during shutdown. */
     boolean setStandby(boolean on) {
         if (on == standby()) {
             return false;
@@ -86,25 +89,25 @@
     }
 
     /**
-     * Begins the planned end of the process; a second call changes nothing.
+     * Begins the shutdown of the process; a second call has no effect.
      *
-     * @param whenClosed run on the loop once all that was taken is answered and the node is closed
+     * @param whenClosed run on the event loop once all accepted requests are answered and the node is closed
      */
     void stop(Runnable whenClosed) {
         if (stopping) {
             return;
         }
-        // On standby clients have found other nodes: nothing is waited for.
+        // During standby the clients have moved to other nodes, so the drain need not wait for them.
         boolean clientsHaveLeft = standby();
         stopping = true;
         onClosed = whenClosed;
         long now = node.loop.now();
         long lastResponseNs = KILL_DELAY_NS + Math.min(MAX_COUNTED_DEADLINE_NS, longestDeadlineNs()) - KILL_MARGIN_NS;
         node.engine.answerAllBy(now + lastResponseNs);
-        long serveNs = clientsHaveLeft ? 0 : Math.max(NEW_CONNECTIONS_NS, lastResponseNs - LAST_REQUEST_NS);
+        long serveNs = clientsHaveLeft ? 0 : Math.max(NEW_CONNECTIONS_NS, lastResponseNs - LAST_REQUEST_MARGIN_NS);
         LOG.log(Level.INFO, "shutdown started open_requests=" + node.engine.openRequests());
         drainBy(node.loop.now() + serveNs);
-        // By the first check the connections that wait in the kernel are accepted.
+        // The delay lets the listener accept the connections that wait in the kernel before the first check.
         node.loop.timers.set(check, node.loop.now() + CHECK_INTERVAL_NS);
     }
 
@@ -115,20 +118,21 @@
                 .orElse(0);
     }
 
-    /** A successor has come or gone while this process ends. */
+    /** Updates the schedule after a successor process has appeared or ended during the shutdown. */
     void update() {
-        drainBy(schedule.clearsAt());
+        drainBy(schedule.closesIdleAt());
     }
 
-    /** Clients go to a successor process now or, where none accepts them, stay until {@code clearsAt}. */
-    private void drainBy(long clearsAt) {
+    /** Drains clients to a successor process now or, if none accepts them, at {@code closesIdleAt}. */
+    private void drainBy(long closesIdleAt) {
         boolean handedOver = node.handOverClients();
-        schedule = handedOver ? DrainSchedule.handOver(node.loop.now(), clearsAt) : DrainSchedule.stop(clearsAt);
+        schedule =
+                handedOver ? DrainSchedule.handOver(node.loop.now(), closesIdleAt) : DrainSchedule.stop(closesIdleAt);
     }
 
     private void check() {
         long now = node.loop.now();
-        if (now >= schedule.clearsAt()) {
+        if (now >= schedule.closesIdleAt()) {
             node.ingress().closeIdle(now, schedule.sparesCallbacks());
         }
         if (stopping
--- a/src/main/java/beechseam/platform/DrainSchedule.java
+++ b/src/main/java/beechseam/platform/DrainSchedule.java
@@ -1,38 +1,38 @@
 package beechseam.platform;
 
 /**
- * When clients are drained to other nodes or to another process, at SIGTERM and on standby alike. Times are
- * nanoseconds of the event loop's clock; {@code Long.MAX_VALUE} is never.
+ * The times of the steps by which clients are drained to other nodes or to a successor process, during shutdown and
+ * standby. Times are nanoseconds of the event loop's clock; {@code Long.MAX_VALUE} means never.
  *
- * @param leavesAt        from when answers carry {@code Connection: close}
- * @param clearsAt        from when idle connections are closed
- * @param shedsAt         from when new jobs are shed
- * @param sparesCallbacks whether connections that have carried callbacks stay open, since they are no client's
+ * @param drainsAt        the time from which responses carry {@code Connection: close}
+ * @param closesIdleAt    the time from which idle connections are closed
+ * @param shedsAt         the time from which new jobs are shed
+ * @param sparesCallbacks whether connections that have carried callbacks stay open, since their peers are executors
  */
-record DrainSchedule(long leavesAt, long clearsAt, long shedsAt, boolean sparesCallbacks) {
-    /** Nothing is drained. */
+record DrainSchedule(long drainsAt, long closesIdleAt, long shedsAt, boolean sparesCallbacks) {
+    /** The schedule of a node that serves its clients and drains none. */
     static final DrainSchedule NONE = new DrainSchedule(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, false);
     /**
-     * From the call to the closing of idle connections, in nanoseconds. The load balancer in front learns of a
-     * standby within 0.3 s; 4 s after the call no idle connection and no new job may remain.
+     * The delay from the standby call to the closing of idle connections, in nanoseconds. The load balancer in front
+     * detects a standby within 0.3 s; 4 s after the call no idle connection and no new job may remain.
      */
-    private static final long STANDBY_CLEARS_NS = 1_000_000_000L;
+    private static final long STANDBY_CLOSES_IDLE_NS = 1_000_000_000L;
 
-    /** From the call to the shedding of new jobs, in nanoseconds. */
+    /** The delay from the standby call to the shedding of new jobs, in nanoseconds. */
     private static final long STANDBY_SHEDS_NS = 2_000_000_000L;
 
-    /** The schedule of a standby that begins now. */
+    /** Returns the schedule of a standby that begins now. */
     static DrainSchedule standby(long now) {
-        return new DrainSchedule(now, now + STANDBY_CLEARS_NS, now + STANDBY_SHEDS_NS, true);
+        return new DrainSchedule(now, now + STANDBY_CLOSES_IDLE_NS, now + STANDBY_SHEDS_NS, true);
     }
 
-    /** The schedule of a process that stops without a successor: connected clients are served until then. */
-    static DrainSchedule stop(long leavesAt) {
-        return new DrainSchedule(leavesAt, leavesAt, Long.MAX_VALUE, false);
+    /** Returns the schedule of a process that stops without a successor and serves clients until {@code drainsAt}. */
+    static DrainSchedule stop(long drainsAt) {
+        return new DrainSchedule(drainsAt, drainsAt, Long.MAX_VALUE, false);
     }
 
-    /** The schedule of a process that stops with a successor: answers send clients there from now on. */
-    static DrainSchedule handOver(long now, long clearsAt) {
-        return new DrainSchedule(now, clearsAt, Long.MAX_VALUE, true);
+    /** Returns the schedule of a process that stops with a successor: responses send clients there from now on. */
+    static DrainSchedule handOver(long now, long closesIdleAt) {
+        return new DrainSchedule(now, closesIdleAt, Long.MAX_VALUE, true);
     }
 }
--- a/src/main/java/beechseam/platform/IngressConnection.java
+++ b/src/main/java/beechseam/platform/IngressConnection.java
@@ -14,19 +14,20 @@
 import java.util.Locale;
 
 /**
- * A connection from a client, an executor that calls back, or an operator. It validates requests and answers
- * them; a client's job goes to the engine, which answers by the methods of {@link Ingress}. One job at a time.
+ * A connection from a client, an operator, or an executor that sends callbacks. It validates requests and responds
+ * to them. Clients' jobs go to the engine, which returns their results through {@link Ingress}. A connection has at
+ * most one open job.
  */
 final class IngressConnection extends ServerConnection implements Ingress {
     private static final String PLAIN_TEXT = "Content-Type: text/plain\r\n";
     private static final int MAX_ID_LENGTH = 128;
 
     private final PlatformNode node;
-    /** The open job's request, or null. */
+    /** The request of the open job, or null if there is none. */
     private Request request;
 
     private boolean carriesCallbacks;
-    /** True within the call that submits a job: its request is not known here yet. */
+    /** True during the call that submits a job, when {@link #request} is not set yet. */
     private boolean submitting;
 
     IngressConnection(PlatformNode node, SocketChannel channel) throws IOException {
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Whether the message has this method; if not it is answered by 405. */
+    /** Returns whether the message has this method; if not, responds with 405. */
     private boolean requireMethod(HttpParser message, String method) {
         boolean allowed = message.method().same(method);
         if (!allowed) {
@@ -98,7 +99,7 @@
         if (reason != null) {
             respondBadRequest(400, reason);
         } else if (peerEnded()) {
-            node.counters.clientsDisconnected++; // gone behind its request: nobody is there to answer, nothing is sent
+            node.counters.clientsDisconnected++; // the client closed after its request: no attempt is sent
             node.counters.requestsAccepted++;
         } else if (node.ingress().isOverloaded() || node.shedsNewJobs()) {
             shedBeforeAdmission(jobClass);
@@ -108,7 +109,7 @@
         }
     }
 
-    /** The text between the first slash and the second, if any; empty where there is none. */
+    /** Returns the first segment of the path, without slashes; empty if there is none. */
     private static String firstSegment(Slice path) {
         if (path.length() < 2) {
             return "";
@@ -117,13 +118,13 @@
         return path.part(1, length < 0 ? path.length() : length + 1).toString();
     }
 
-    /** Why the headers of a job to the class of its path are malformed, or null. */
+    /** Returns why the job's headers are invalid for the class named in its path, or null if they are valid. */
     private String rejectionReason(HttpParser message, String className, int jobClass, long timeLeftNs) {
-        Slice named = message.header("x-service-class");
-        if (named == null) {
+        Slice serviceClass = message.header("x-service-class");
+        if (serviceClass == null) {
             return "X-Service-Class is missing";
         }
-        if (!named.same(className)) {
+        if (!serviceClass.same(className)) {
             return "X-Service-Class names no class of this path";
         }
         Slice id = message.header("x-correlation-id");
@@ -140,13 +141,17 @@
         return null;
     }
 
-    /** An id goes into targets and headers of further requests: it is a plain word and starts with no dot. */
+    /**
+     * Whether a correlation id is valid. Ids become part of the targets and headers of further requests, so they
+     * consist of letters, digits, '-', '.' and '_', and start with a letter or a digit.
+     */
     private static boolean isId(Slice id) {
         for (int i = 0; i < id.length(); i++) {
-            int code = id.bytes()[id.from() + i];
-            boolean alphanumeric =
-                    code >= 'a' && code <= 'z' || code >= 'A' && code <= 'Z' || code >= '0' && code <= '9';
-            if (!alphanumeric && (i == 0 || code != '-' && code != '.' && code != '_')) {
+            int character = id.bytes()[id.from() + i];
+            boolean alphanumeric = character >= 'a' && character <= 'z'
+                    || character >= 'A' && character <= 'Z'
+                    || character >= '0' && character <= '9';
+            if (!alphanumeric && (i == 0 || character != '-' && character != '.' && character != '_')) {
                 return false;
             }
         }
@@ -162,7 +167,7 @@
         respond(status, PLAIN_TEXT, text(reason));
     }
 
-    /** Shed before the module has seen it: nothing of it has been sent. */
+    /** Sheds a job that was not submitted to the engine, so that no attempt has been sent. */
     private void shedBeforeAdmission(int jobClass) {
         node.counters.of(jobClass).crowdedOut++;
         DispatchLimits limits = node.options.settings.limits();
@@ -228,7 +233,7 @@
         respondShed(retryAfterNs);
     }
 
-    /** {@code retryAfterNs}: nanoseconds; 0 or less for no advice. */
+    /** Responds with 503, and with a Retry-After header if {@code retryAfterNs} (nanoseconds) is above 0. */
     private void respondShed(long retryAfterNs) {
         String retryAfter =
                 retryAfterNs <= 0 ? "" : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfterNs / 1e9);
@@ -241,11 +246,14 @@
         respond(502, PLAIN_TEXT, text(reason));
     }
 
-    /** A close may have come in this very turn, or while this node had no processor time: read first. */
+    /**
+     * Reads pending input first, because a close by the client may have arrived in the current turn of the event loop
+     * or while this process got no processor time.
+     */
     @Override
-    public boolean isClientConnected(Request asked) {
+    public boolean isClientConnected(Request checked) {
         catchUp();
-        return request == asked || submitting;
+        return request == checked || submitting;
     }
 
     @Override
@@ -258,7 +266,7 @@
         return carriesCallbacks ? node.isDrainingCallbacks() : node.isDraining();
     }
 
-    /** Whether it has carried call-backs: it is an executor's, not a client's. */
+    /** Whether callbacks have arrived on this connection, which shows that its peer is an executor. */
     boolean carriesCallbacks() {
         return carriesCallbacks;
     }
--- a/src/main/java/beechseam/platform/IngressTable.java
+++ b/src/main/java/beechseam/platform/IngressTable.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * The connections from clients and from executors that call back, within a bound on descriptors. At the bound
- * a new connection evicts one that is owed nothing; where all are owed a response the listener pauses, and
- * further ones wait in the kernel. Eviction is O(n) in the connections.
+ * The connections from clients and from executors that send callbacks, limited in number to save file descriptors.
+ * At the limit a new connection evicts one that awaits no response. If all of them await a response, the listener
+ * pauses and further connections wait in the kernel. Eviction takes O(n) time in the number of connections.
  */
 final class IngressTable {
-    /** A connection just accepted is likely to bring its request within this time. */
+    /** A client usually sends its first request within this time after the accept. */
     private static final long FIRST_REQUEST_GRACE_NS = 100_000_000L;
-    /** A connection without traffic for so long has no request on its way. */
+    /** A connection without traffic for this long is assumed to have no request in transit. */
     private static final long QUIET_NS = 200_000_000L;
 
     private final PlatformNode node;
-    private final Set<IngressConnection> connections = new LinkedHashSet<>(); // in the order of their accepts
+    private final Set<IngressConnection> connections = new LinkedHashSet<>(); // in the order of acceptance
     /** Null until the node listens. */
     private Listener listener;
 
@@ -30,47 +30,48 @@
         this.node = node;
     }
 
-    /** The listener to pause and resume, once the node listens. */
+    /** Sets the listener that is paused and resumed; called when the node starts to listen. */
     void attach(Listener attachedListener) {
         listener = attachedListener;
     }
 
-    /** Bounds the connections. Those above a lowered bound end as they become idle. */
+    /** Sets the limit. Connections in excess of a lowered limit are evicted when they are idle. */
     void setMaxConnections(int max) {
         maxConnections = max;
         resumeAccepting();
     }
 
     /**
-     * How many connections there may be now: the bound, but always room for call-backs beside the open jobs.
-     * These may be more than the bound allows where another process of the node has just taken half of it.
+     * The number of connections allowed now: the limit or, if larger, one for each open job plus a quarter of the
+     * limit for callbacks. Open jobs alone can exceed the limit just after another process of the node has started
+     * and taken half of the file descriptors.
      */
     private int capacity() {
         return Math.max(maxConnections, openJobs + maxConnections / 4);
     }
 
-    /** Takes a connection that the listener has accepted. */
+    /** Adds a connection that the listener has accepted, and evicts others if the table is full. */
     void accept(SocketChannel channel) throws IOException {
-        // More than one where the bound has been lowered: else the listener would stay paused beside idle ones.
+        // After the limit was lowered, several must go, or the listener would stay paused despite idle connections.
         IngressConnection victim = evictionCandidate();
         while (victim != null) {
             if (victim.ending()) {
                 victim.close();
             } else {
-                victim.closeUnlessAsked(); // if a request has come meanwhile the next candidate is another
+                victim.closeUnlessAsked(); // stays open if a request has arrived; the next candidate is another
             }
             victim = evictionCandidate();
         }
         connections.add(new IngressConnection(node, channel));
         if (connections.size() > capacity()) {
-            listener.accepting(false); // the next wait in the kernel until one here ends
+            listener.accepting(false); // further connections wait in the kernel until one here closes
         }
     }
 
     /**
-     * The connection that is missed least; null below capacity, or where all are owed a response. In this
-     * order: one that has had its last response; one that was opened and says nothing; one that has served and
-     * is idle, longest first; one whose first request is not complete.
+     * Returns the connection whose close does the least harm; null below capacity, or if all await a response. First
+     * choice is the oldest that has received its last response or whose first request is overdue; second, the one
+     * that has been idle longest after a request; last, the oldest whose first request has not arrived in full.
      */
     private IngressConnection evictionCandidate() {
         if (connections.size() < capacity()) {
@@ -95,22 +96,22 @@
         return longestIdle != null ? longestIdle : unused;
     }
 
-    /** Whether so many jobs are open that another would take the place of call-backs and health checks. */
+    /** Whether so many jobs are open that another one would take connections needed for callbacks and health checks. */
     boolean isOverloaded() {
         return openJobs >= maxConnections * 3 / 4;
     }
 
-    /** A connection holds a job from now on. */
+    /** Counts a job that a connection has opened. */
     void jobOpened() {
         openJobs++;
     }
 
-    /** A connection holds its job no more. */
+    /** Stops counting a job that was answered or whose client has disconnected. */
     void jobClosed() {
         openJobs--;
     }
 
-    /** A connection has closed. */
+    /** Removes a connection that has closed. */
     void connectionClosed(IngressConnection connection) {
         connections.remove(connection);
         resumeAccepting();
@@ -122,7 +123,7 @@
         }
     }
 
-    /** Applies the timeouts of all connections; called periodically, {@code nowNs} on the loop's clock. */
+    /** Applies the timeouts of all connections; called periodically with the time of the event loop's clock. */
     void sweep(long nowNs) {
         for (IngressConnection each : List.copyOf(connections)) {
             each.sweep(nowNs);
@@ -130,11 +131,11 @@
     }
 
     /**
-     * Closes idle connections. One just accepted looks idle until its first bytes are read: a call-back may be
-     * on its way.
+     * Closes idle connections. Recently accepted ones stay open: they look idle until their first bytes are read, and
+     * a callback may be in transit.
      *
-     * @param nowNs the time on the loop's clock
-     * @param sparesCallbacks whether connections that have carried call-backs stay open
+     * @param nowNs the time of the event loop's clock
+     * @param sparesCallbacks whether connections that have carried callbacks stay open
      */
     void closeIdle(long nowNs, boolean sparesCallbacks) {
         List.copyOf(connections).stream()
@@ -143,7 +144,7 @@
                 .forEach(IngressConnection::closeUnlessAsked);
     }
 
-    /** Whether no connection is left, but for idle ones of call-backs where these are spared. */
+    /** Whether no connection is left, except idle ones that have carried callbacks if those are spared. */
     boolean isDrained(boolean sparesCallbacks) {
         return connections.stream().allMatch(each -> each.carriesCallbacks() && sparesCallbacks && each.idle());
     }
--- a/src/main/java/beechseam/platform/LearnedStateCodec.java
+++ b/src/main/java/beechseam/platform/LearnedStateCodec.java
@@ -13,21 +13,22 @@
 import java.util.Map;
 
 /**
- * The form in which learned state goes from one process to the next: JSON objects, each an array of figures by
- * entry name, in as many pieces as frames of the {@link HandoverLink} need. Processes of other versions read and
- * write it. A piece stands alone: one that is lost or unreadable costs only its own entries.
+ * Encodes learned state for the transfer from one process to the next. The state is split into pieces that each fit
+ * a frame of the {@link HandoverLink}; a piece is a JSON object that maps entry names to arrays of numbers. Processes
+ * of other versions read and write this format. Pieces are independent: if one is lost or unreadable, only its own
+ * entries are lost.
  */
 final class LearnedStateCodec {
     private static final Logger LOG = System.getLogger(LearnedStateCodec.class.getName());
-    /** A piece is filled up to half of a frame, since the estimate of its size is rough. */
+    /** The estimated size up to which a piece is filled: half of a frame, since the estimate is rough. */
     private static final int PIECE_BYTES = HandoverLink.MAX_PIECE_BYTES / 2;
-    /** Estimate for a figure in JSON with its comma; also for what surrounds an entry's name. */
-    private static final int FIGURE_BYTES = 25;
+    /** The estimated size of a number in JSON with its comma, also used for the characters around an entry's name. */
+    private static final int NUMBER_BYTES = 25;
 
     private LearnedStateCodec() {}
 
     /**
-     * Encodes learned state. An entry that fits no frame is logged and left out.
+     * Encodes learned state. An entry that is too large for a frame is logged and left out.
      *
      * @return at least one piece, each of at most {@link HandoverLink#MAX_PIECE_BYTES} bytes, if all entries fit
      */
@@ -36,7 +37,7 @@
         Map<String, double[]> entries = new LinkedHashMap<>();
         int bytes = 0;
         for (Map.Entry<String, double[]> each : state.entries().entrySet()) {
-            int entryBytes = each.getKey().length() + FIGURE_BYTES * (each.getValue().length + 1);
+            int entryBytes = each.getKey().length() + NUMBER_BYTES * (each.getValue().length + 1);
             if (bytes + entryBytes > PIECE_BYTES) {
                 addPiece(pieces, entries);
                 entries.clear();
@@ -63,17 +64,17 @@
     }
 
     /**
-     * Decodes a piece, which must be backed by an array. What is no array of numbers becomes an entry without
-     * figures.
+     * Decodes a piece, which must be backed by an array. A value that is not an array of numbers is decoded as an
+     * empty entry.
      *
-     * @return the piece's entries, in no promised order; none if it is unreadable, which is logged
+     * @return the piece's entries in unspecified order; none if the piece is unreadable, which is logged
      */
     static LearnedState decode(ByteBuffer piece) {
         Map<String, double[]> entries = new LinkedHashMap<>();
         try {
             int from = piece.arrayOffset() + piece.position();
             if (Json.parse(piece.array(), from, piece.remaining()) instanceof Map<?, ?> object) {
-                object.forEach((name, value) -> entries.put((String) name, figures(value)));
+                object.forEach((name, value) -> entries.put((String) name, numbers(value)));
             }
         } catch (IOException e) {
             LOG.log(Level.WARNING, "learned state unreadable reason=" + e.getMessage());
@@ -81,7 +82,7 @@
         return new LearnedState(entries);
     }
 
-    private static double[] figures(Object value) {
+    private static double[] numbers(Object value) {
         if (value instanceof List<?> list && list.stream().allMatch(each -> each instanceof Number)) {
             return list.stream()
                     .mapToDouble(each -> ((Number) each).doubleValue())
--- a/src/main/java/beechseam/platform/Maintenance.java
+++ b/src/main/java/beechseam/platform/Maintenance.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Which executors operators have taken out of service. An id counts once discovery has listed it, also after it
- * has gone from the list; what operators said is written to the file, for the next process of the node.
+ * Records which executors operators have taken out of service. Operators can name an executor once discovery has
+ * listed it, even if it is no longer on the list. Each change is written to a file for the node's next process.
  */
 final class Maintenance {
     private final Engine engine;
@@ -16,9 +16,9 @@
     private final MaintenanceFile file;
 
     private final Map<String, Long> targetById = new HashMap<>();
-    /** Whether the last change is still to be written. */
+    /** Whether the last change has not been written to the file. */
     private boolean unwritten;
-    /** When each was put back, by the event loop's clock in nanoseconds; 0 while it is out of service. */
+    /** When each executor was put back, by the event loop's clock in nanoseconds; 0 while it is out of service. */
     private Map<String, Long> restoredNsById = new LinkedHashMap<>();
 
     /** {@code file} is null if nothing is to be stored. */
@@ -27,12 +27,15 @@
         this.file = file;
     }
 
-    /** Discovery or the configuration has listed an executor; {@code target} is its number in the engine. */
+    /**
+     * Registers an executor that discovery or the configuration has listed; {@code target} is its number in the
+     * engine.
+     */
     void listed(String id, long target) {
         targetById.put(id, target);
     }
 
-    /** Replaces what operators said here by the file's content, if it can be read. */
+    /** Replaces the recorded changes by the file's content, if the file can be read. */
     void restore() {
         Map<String, Long> stored = file == null ? null : file.read();
         if (stored == null) {
@@ -43,7 +46,7 @@
             long target = Wire.target(id);
             if (target >= 0) {
                 listed(id, target);
-                // A time in the future shows that the wall clock has been set back since.
+                // A time in the future means that the wall clock has been set back since the file was written.
                 engine.setMaintenance(target, restoredNs == 0, Math.min(restoredNs, engine.now()));
             }
         });
@@ -52,29 +55,29 @@
     /**
      * Takes an executor out of service or puts it back.
      *
-     * @param id    the executor's id
-     * @param out   whether it goes out of service
-     * @param store whether this process writes the file; a call from a peer is written by that peer
-     * @return null if it is done and written, else the reason as operators read it
+     * @param id           the executor's id
+     * @param outOfService whether the executor goes out of service
+     * @param store        whether this process writes the file; a call from a peer is written by that peer
+     * @return null if the change is applied and written, else the error for the operator
      */
-    String set(String id, boolean out, boolean store) {
+    String set(String id, boolean outOfService, boolean store) {
         Long target = targetById.get(id);
         if (target == null) {
             return "no such executor was ever listed";
         }
-        if (out != isOut(id)) {
-            long restoredNs = out ? 0 : engine.now();
+        if (outOfService != isOutOfService(id)) {
+            long restoredNs = outOfService ? 0 : engine.now();
             restoredNsById.put(id, restoredNs);
-            engine.setMaintenance(target, out, restoredNs);
+            engine.setMaintenance(target, outOfService, restoredNs);
             unwritten |= store && file != null;
         }
-        // A call that is repeated also repeats a write that failed.
+        // A repeated call also retries a write that failed.
         unwritten = unwritten && !file.write(restoredNsById);
         return unwritten ? "done, but it could not be kept for a new process" : null;
     }
 
     /** Whether operators have taken the executor out of service; false for an unknown id. */
-    boolean isOut(String id) {
+    boolean isOutOfService(String id) {
         return restoredNsById.getOrDefault(id, -1L) == 0;
     }
 }
--- a/src/main/java/beechseam/platform/PlatformNode.java
+++ b/src/main/java/beechseam/platform/PlatformNode.java
@@ -20,18 +20,19 @@
 
 /**
  * A node on the platform's protocol. It wires the parts together (listener and ingress table, engine, egress
- * pool, discovery, admin endpoint, hand-over between processes) and answers for the whole: configuration,
- * health and operators' calls. Standby and the planned end are the {@link DrainController}'s. All methods run
- * on the loop's thread.
+ * pool, discovery, admin endpoint, handover between processes) and handles configuration reloads, health and
+ * operators' calls. {@link DrainController} implements standby and shutdown. All methods run on the event
+ * loop's thread.
  */
 public final class PlatformNode implements Operations {
     private static final Logger LOG = System.getLogger(PlatformNode.class.getName());
     private static final long SWEEP_INTERVAL_NS = 250_000_000L;
-    /** Descriptors for the runtime's own selector and files. */
+    /** File descriptors that the runtime needs for its selector and its own files. */
     private static final int RUNTIME_DESCRIPTORS = 24;
     /**
-     * Descriptors kept back from clients and attempts: one turn's accepts, each of which may close another
-     * that the runtime lets go only at the turn's end; discovery's calls; the runtime's.
+     * File descriptors that neither clients nor attempts may use. They cover the accepts of one turn of the event
+     * loop, each of which may close another connection whose descriptor the runtime releases only at the end of
+     * the turn; the calls to discovery; and the runtime's own descriptors.
      */
     private static final int RESERVED_DESCRIPTORS =
             Listener.AT_ONCE + ListWatch.MAX_PENDING_CALLS + RUNTIME_DESCRIPTORS;
@@ -39,12 +40,12 @@
     private static final int MIN_SOCKETS = 16;
     private static final int MIN_CONNECTIONS_PER_TARGET = 4;
 
-    /** Reads the configuration as its file has it now. */
+    /** Reads the current content of the configuration file. */
     public interface Configuration {
         /**
-         * Reads and checks it.
+         * Reads and validates the file.
          *
-         * @throws ConfigException where the file cannot be read or is not valid
+         * @throws ConfigException if the file cannot be read or is not valid
          */
         NodeConfig read() throws ConfigException;
     }
@@ -60,9 +61,9 @@
     private final Discovery discovery;
     private final IngressTable ingress = new IngressTable(this);
     private final DrainController drain = new DrainController(this);
-    /** Null without a console. */
+    /** Null if no console address is configured. */
     private final AdminEndpoint admin;
-    /** Null without a console or a directory for state: the node has one process then. */
+    /** Null if no console address or no state directory is configured: the node then has only one process. */
     private final ProcessHandover handover;
     /** Null until this process listens. */
     private Listener listener;
@@ -76,9 +77,10 @@
     };
 
     /**
-     * Starts a node; it listens at once, or as soon as it may take over from an older process.
+     * Starts a node. It listens at once or, if an older process of the node is running, as soon as it can take over
+     * from that process.
      *
-     * @throws IOException where an address of the configuration cannot be bound
+     * @throws IOException if an address of the configuration cannot be bound
      */
     public PlatformNode(EventLoop loop, NodeConfig config) throws IOException {
         this.loop = loop;
@@ -116,7 +118,7 @@
         loop.timers.set(sweep, loop.now() + SWEEP_INTERVAL_NS);
     }
 
-    /** Accepts clients, on an address that a successor may share later. */
+    /** Starts to accept clients. If the node supports handover, a successor process may later share the address. */
     void listen() throws IOException {
         listener = new Listener(loop, config.listen(), ingress::accept, handover != null);
         ingress.attach(listener);
@@ -127,7 +129,7 @@
         return listener != null;
     }
 
-    /** Whether discovery has answered. */
+    /** Whether an endpoint list of discovery has been applied since the start. */
     boolean isSynced() {
         return discovery.isSynced();
     }
@@ -136,7 +138,10 @@
         return handover != null && handover.forwardToPeer(event);
     }
 
-    /** Divides the descriptors that the configuration grants among the processes of the node and their uses. */
+    /**
+     * Divides the configured number of file descriptors evenly among the node's processes, and the share of this
+     * process between ingress and egress.
+     */
     void allocateDescriptors() {
         int granted = config.sockets() / (handover == null ? 1 : handover.processCount());
         int sockets = Math.max(MIN_SOCKETS, granted - RESERVED_DESCRIPTORS);
@@ -146,9 +151,10 @@
     }
 
     /**
-     * Applies a new configuration, already checked. Discovery's address and the bound on descriptors change at
-     * once, also while the node stops, since drains go on being told. The module and the listener live as long
-     * as the process does: what they were built from counts at the next start.
+     * Applies a new configuration that has been validated. Discovery's address and the limit on file descriptors
+     * change at once, also during shutdown, because discovery still announces draining executors. The engine and
+     * the listener live as long as the process, so changes to the settings they were built from take effect only at
+     * the next start.
      */
     public void reload(NodeConfig next) {
         discovery.move(next.discovery(), next.discoveryHost());
@@ -171,12 +177,12 @@
                 || next.connectTimeoutNs() != config.connectTimeoutNs();
     }
 
-    /** Sets where the configuration is read again when discovery is not found at its address. */
+    /** Sets the source from which the configuration is read again if discovery cannot be reached at its address. */
     public void reloadsFrom(Configuration configuration) {
         discovery.configuration(configuration);
     }
 
-    /** A new configuration cannot be used: the old one stays in force. */
+    /** Records that a new configuration cannot be used; the old one stays in force. */
     public void rejectReload(String reason) {
         counters.confInvalid++;
         LOG.log(Level.ERROR, "reload rejected reason=" + reason);
@@ -185,37 +191,40 @@
     /**
      * Returns the address that clients and executors connect to.
      *
-     * @throws IOException where it cannot be determined
+     * @throws IOException if it cannot be determined
      */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
     /**
-     * Returns the operators' address, or null where the node has none.
+     * Returns the address of the admin endpoint, or null if the node has none.
      *
-     * @throws IOException where it cannot be determined
+     * @throws IOException if it cannot be determined
      */
     public InetSocketAddress console() throws IOException {
         return admin == null ? null : admin.address();
     }
 
-    /** Returns the live counters; read them on the loop's thread. */
+    /** Returns the live counters, which may be read only on the event loop's thread. */
     public Counters counters() {
         return counters;
     }
 
-    /** What the node says of its health; whose clients another process takes must not speak against it. */
+    /**
+     * Whether health checks of the node succeed. A process that has handed its clients over always reports success,
+     * because the successor process keeps the node in service.
+     */
     boolean ready() {
         return handedOver() || notReadyReason(discovery.freshness().hasOpened()) == null;
     }
 
-    /** Whether the route table may be acted on, for who asks for the node's health. */
+    /** The freshness of the route table, which the node reports with its health. */
     RouteTableFreshness.State routeTable() {
         return discovery.freshness().state();
     }
 
-    /** The connections that this node has accepted. */
+    /** The connections accepted by this process. */
     IngressTable ingress() {
         return ingress;
     }
@@ -229,7 +238,7 @@
         return notReadyReason(discovery.freshness().open());
     }
 
-    /** Why clients are not served, or null; {@code maySend}: attempts may begin. */
+    /** Why clients are not served, or null if they are; {@code maySend} tells whether attempts may be sent. */
     private String notReadyReason(boolean maySend) {
         if (stopping()) {
             return "stopping";
@@ -253,13 +262,13 @@
     }
 
     @Override
-    public String maintenance(String id, boolean out) {
+    public String maintenance(String id, boolean outOfService) {
         boolean calledByPeer = handover != null && handover.isHandlingPeerCall();
-        boolean before = maintenance.isOut(id);
-        String failure = maintenance.set(id, out, !calledByPeer);
-        if (before != maintenance.isOut(id)) {
-            LOG.log(Level.INFO, (out ? "maintenance set worker=" : "maintenance cleared worker=") + id);
-            notifyPeer((out ? "maint-on " : "maint-off ") + id);
+        boolean wasOutOfService = maintenance.isOutOfService(id);
+        String failure = maintenance.set(id, outOfService, !calledByPeer);
+        if (wasOutOfService != maintenance.isOutOfService(id)) {
+            LOG.log(Level.INFO, (outOfService ? "maintenance set worker=" : "maintenance cleared worker=") + id);
+            notifyPeer((outOfService ? "maint-on " : "maint-off ") + id);
         }
         return failure;
     }
@@ -285,17 +294,17 @@
         return drain.standby();
     }
 
-    /** Whether clients are sent away. */
+    /** Whether responses to clients close their connections. */
     boolean isDraining() {
         return drain.isDraining();
     }
 
-    /** Whether executors that call back are sent away as well. */
+    /** Whether responses to executors' callbacks close their connections as well. */
     boolean isDrainingCallbacks() {
         return drain.isDrainingCallbacks();
     }
 
-    /** Whether further jobs are shed. */
+    /** Whether new jobs are shed. */
     boolean shedsNewJobs() {
         return drain.shedsNewJobs();
     }
@@ -308,8 +317,9 @@
     }
 
     /**
-     * Begins the planned end. New clients stop coming, but those connected go on asking: they are served until
-     * shortly before the platform kills the process, then sent away. All that was taken is answered.
+     * Begins the shutdown. The platform routes no new clients to the node, but connected clients go on sending
+     * requests: they are served until shortly before the platform kills the process, and then disconnected. Every
+     * accepted request is answered.
      *
      * @param done run once the node has closed
      */
@@ -321,24 +331,24 @@
         return drain.stopping();
     }
 
-    /** A successor has come or gone while this process ends. */
+    /** Updates the drain schedule after a successor process has appeared or ended during the shutdown. */
     void updateDrainSchedule() {
         drain.update();
     }
 
     /**
-     * Leaves new connections to a successor process, if there is one; listens again if it has gone.
+     * Stops accepting connections if a successor process accepts them, and listens again if that process has ended.
      *
-     * @return whether a successor takes the clients
+     * @return whether a successor process serves the clients
      */
     boolean handOverClients() {
         boolean before = handedOver();
-        boolean handsOver = handover != null && handover.begin();
+        boolean handsOver = handover != null && handover.handOverToSuccessor();
         if (handsOver && !before) {
             LOG.log(Level.INFO, "handover started");
             listener.closeWhenEmpty();
         } else if (before && !handsOver) {
-            LOG.log(Level.WARNING, "handover cancelled reason=the other process is gone");
+            LOG.log(Level.WARNING, "handover cancelled reason=the successor process has disconnected");
             try {
                 listen();
             } catch (IOException e) {
@@ -350,7 +360,7 @@
 
     /** Closes everything; the node cannot be started again. */
     void close() {
-        // The listener stays to the last where it is the only one: call-backs come to it.
+        // Without a successor process the listener stays open until now, because executors send callbacks to it.
         if (listener != null) {
             listener.close();
         }
--- a/src/main/java/beechseam/platform/ProcessHandover.java
+++ b/src/main/java/beechseam/platform/ProcessHandover.java
@@ -13,19 +13,19 @@
 
 /**
  * Handover between two processes of one node. The successor waits for its predecessor's state and for discovery,
- * then listens at the same address and says so; it counts as joined when the predecessor has acknowledged that.
- * The predecessor, when it stops, hands its clients over if a successor serves them. Each waiting has a time
- * limit, so that a predecessor which hangs cannot keep the node from serving.
+ * then listens at the same address and announces this; it has joined when the predecessor has acknowledged the
+ * announcement. A predecessor that stops hands its clients over to a successor that serves them. Each wait has a
+ * time limit, so that a hanging predecessor cannot keep the node from serving.
  */
 final class ProcessHandover implements HandoverLink.Process {
     private static final Logger LOG = System.getLogger(ProcessHandover.class.getName());
     /** The interval at which the conditions for joining are checked, in nanoseconds. */
     private static final long JOIN_CHECK_INTERVAL_NS = 5_000_000L;
-    /** How long the predecessor's state and the endpoint list are waited for, in nanoseconds. */
+    /** The time limit for the predecessor's state and the endpoint list, in nanoseconds. */
     private static final long JOIN_TIMEOUT_NS = 3_000_000_000L;
-    /** How long the predecessor's acknowledgement is waited for, in nanoseconds. */
+    /** The time limit for the predecessor's acknowledgement, in nanoseconds. */
     private static final long ACKNOWLEDGEMENT_TIMEOUT_NS = 1_000_000_000L;
-    /** The pause after a failure to listen, in nanoseconds. */
+    /** The delay before another attempt to listen, in nanoseconds. */
     private static final long LISTEN_RETRY_NS = 1_000_000_000L;
 
     private final PlatformNode node;
@@ -39,7 +39,7 @@
     private boolean joined;
     private boolean handedOver;
     private boolean handlingPeerCall;
-    /** When the current step of joining is given up, by the event loop's clock, in nanoseconds. */
+    /** When the current step of joining times out, by the event loop's clock, in nanoseconds. */
     private long joinDeadlineNs;
 
     ProcessHandover(PlatformNode node, NodeConfig config) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Whether clients are sent to this process: it had no predecessor, or that one knows of it. */
+    /** Whether clients are sent to this process: it had no predecessor, or that one has acknowledged or timed out. */
     boolean joined() {
         return joined;
     }
@@ -66,7 +66,7 @@
                 node.listen();
                 link.ready();
                 joinDeadlineNs = now + ACKNOWLEDGEMENT_TIMEOUT_NS;
-            } catch (IOException e) { // a predecessor whose version or configuration does not share the address
+            } catch (IOException e) { // the predecessor's version or configuration does not share the address
                 LOG.log(Level.WARNING, "listen failed, will retry reason=" + e.getMessage());
                 joinDeadlineNs = now + LISTEN_RETRY_NS;
                 node.loop.timers.set(joinTimer, joinDeadlineNs);
@@ -101,19 +101,19 @@
         return link.forwardCallback(callback.bytes(), callback.from(), callback.length());
     }
 
-    /** Ends joining, since this process stops; returns whether a successor serves the clients now. */
-    boolean begin() {
+    /** Stops joining, since this process shuts down, and returns whether a successor serves the clients from now on. */
+    boolean handOverToSuccessor() {
         node.loop.timers.cancel(joinTimer);
         handedOver = link.hasSuccessor();
         return handedOver;
     }
 
-    /** Whether a successor serves the clients, so that this process's health is not the node's. */
+    /** Whether a successor serves the clients, so that the node's health no longer depends on this process. */
     boolean handedOver() {
         return handedOver;
     }
 
-    /** Leaves the link; the peers see this process end. */
+    /** Closes the link, which tells the peers that this process has ended. */
     void close() {
         node.loop.timers.cancel(joinTimer);
         link.close();
--- a/src/main/java/beechseam/platform/StatsReport.java
+++ b/src/main/java/beechseam/platform/StatsReport.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * The counters that operators read at the admin endpoint, one {@code svc.name=value} a line. Names and order are
- * read by monitoring and stay.
+ * Formats the counters that operators read at the admin endpoint, one {@code svc.name=value} per line. Monitoring
+ * depends on the names and their order, so neither may change.
  */
 final class StatsReport {
     private final Engine engine;
     private final List<JobClass> classes;
 
-    /** {@code classes} in the order in which the engine counts them. */
+    /** {@code classes} are in the order of the engine's class counters. */
     StatsReport(Engine engine, List<JobClass> classes) {
         this.engine = engine;
         this.classes = classes;
     }
 
-    /** All counters as they are now, each line with its end. */
+    /** Returns the current values of all counters, each line with its line end. */
     String lines() {
         StringBuilder report = new StringBuilder(1024);
         Counters counters = engine.counters();
--- a/src/main/java/beechseam/platform/Wire.java
+++ b/src/main/java/beechseam/platform/Wire.java
@@ -5,16 +5,19 @@
 import beechseam.http.Slice;
 import java.util.Map;
 
-/** Values of the platform's headers and events: durations, fields, ids and load reports. */
+/** Parses values of the platform's headers and events: durations, fields, ids and load reports. */
 final class Wire {
-    /** The body of a message without one. */
+    /** The body of a message that has none. */
     static final byte[] EMPTY_BODY = new byte[0];
 
     private static final double MAX_DURATION_NS = 71 * 60e9;
 
     private Wire() {}
 
-    /** A duration with its unit, {@code 480m} or {@code 1500u}, in nanoseconds; -1 where it is none or null. */
+    /**
+     * Parses a duration in milliseconds ({@code 480m}) or microseconds ({@code 1500u}) and returns it in nanoseconds,
+     * at most {@link #MAX_DURATION_NS}; returns -1 if it is null, malformed or not above 0.
+     */
     static long durationNs(Slice text) {
         if (text == null || text.length() < 2) {
             return -1;
@@ -34,8 +37,8 @@
 
     private static double unsignedDecimal(Slice text) {
         for (int i = 0; i < text.length(); i++) {
-            byte code = text.bytes()[text.from() + i];
-            if ((code < '0' || code > '9') && code != '.') {
+            byte character = text.bytes()[text.from() + i];
+            if ((character < '0' || character > '9') && character != '.') {
                 return Double.NaN;
             }
         }
@@ -50,7 +53,7 @@
         }
     }
 
-    /** The value of a name in {@code name=value,name=value}; NaN where it is missing or no number. */
+    /** Returns the value of a name in {@code name=value,name=value}, or NaN if it is missing or not a number. */
     static double fieldValue(Slice fields, String name) {
         if (fields != null) {
             for (String each : fields.toString().split(",")) {
@@ -63,7 +66,7 @@
         return Double.NaN;
     }
 
-    /** An executor's id as the number that all nodes use for it; -1 where it is malformed or null. */
+    /** Converts an executor's id to the number that all nodes use for it; returns -1 if it is malformed or null. */
     static long target(String id) {
         if (id == null) {
             return -1;
@@ -75,12 +78,15 @@
         }
     }
 
-    /** The load report in a header; null where there is none or it makes no sense. */
+    /** Parses the load report in a header; returns null if there is none or it is invalid. */
     static LoadReport loadReport(ModuleOptions options, Slice header) {
         return header == null ? null : options.load(name -> fieldValue(header, name));
     }
 
-    /** The load report in a call-back or the response to a health check; null as above. */
+    /**
+     * Parses the load report in a callback or in the response to a health check; returns null if there is none or it
+     * is invalid.
+     */
     static LoadReport loadReport(ModuleOptions options, Map<?, ?> report) {
         if (report == null || report.isEmpty()) {
             return null;
