--- a/src/main/java/beechseam/platform/DrainController.java
+++ b/src/main/java/beechseam/platform/DrainController.java
@@ -130,6 +130,7 @@
                 handedOver ? DrainSchedule.handOver(node.loop.now(), closesIdleAt) : DrainSchedule.stop(closesIdleAt);
     }
 
+    /** Closes idle connections when they are due and, during shutdown, the node when it is drained. */
     private void check() {
         long now = node.loop.now();
         if (now >= schedule.closesIdleAt()) {
--- a/src/main/java/beechseam/platform/IngressTable.java
+++ b/src/main/java/beechseam/platform/IngressTable.java
@@ -149,6 +149,7 @@
         return connections.stream().allMatch(each -> each.carriesCallbacks() && sparesCallbacks && each.idle());
     }
 
+    /** Closes all connections at once. */
     void closeAll() {
         List.copyOf(connections).forEach(IngressConnection::close);
     }
--- a/src/main/java/beechseam/platform/PlatformNode.java
+++ b/src/main/java/beechseam/platform/PlatformNode.java
@@ -125,6 +125,7 @@
         LOG.log(Level.INFO, "node listening name=" + config.name() + " address=" + listener.address());
     }
 
+    /** Whether this process has begun to listen for clients. */
     boolean listening() {
         return listener != null;
     }
@@ -229,6 +230,7 @@
         return ingress;
     }
 
+    /** Whether a successor process serves the clients of this process. */
     boolean handedOver() {
         return handover != null && handover.handedOver();
     }
@@ -290,6 +292,7 @@
         return null;
     }
 
+    /** Whether the node is on standby. */
     boolean standby() {
         return drain.standby();
     }
@@ -309,6 +312,7 @@
         return drain.shedsNewJobs();
     }
 
+    /** Applies the timeouts of all connections, and schedules itself again. */
     private void sweep() {
         long now = loop.now();
         ingress.sweep(now);
@@ -327,6 +331,7 @@
         drain.stop(done);
     }
 
+    /** Whether the shutdown has begun. */
     boolean stopping() {
         return drain.stopping();
     }
--- a/src/main/java/beechseam/platform/ProcessHandover.java
+++ b/src/main/java/beechseam/platform/ProcessHandover.java
@@ -58,6 +58,7 @@
         return joined;
     }
 
+    /** Listens and announces this as soon as the conditions hold, and then waits for the acknowledgement. */
     private void advanceJoin() {
         long now = node.loop.now();
         if (!node.listening() && (!link.awaitsPeerState() && node.isSynced() || now >= joinDeadlineNs)) {
--- a/src/test/java/beechseam/platform/ManyServersTest.java
+++ b/src/test/java/beechseam/platform/ManyServersTest.java
@@ -60,7 +60,7 @@
                             .replace(":" + executorAt.getPort(), ":" + at.getPort()));
         }
         discovery.clear();
-        node = new InetSocketAddress("127.0.0.1", freePort());
+        programAddress = new InetSocketAddress("127.0.0.1", freePort());
         configure(dir, discoveryAt, SETTINGS);
         Path config = dir.resolve("config.json");
         String text = Files.readString(config);
--- a/src/test/java/beechseam/platform/NodeHarness.java
+++ b/src/test/java/beechseam/platform/NodeHarness.java
@@ -76,6 +76,7 @@
         net.close();
     }
 
+    /** Returns the entry of the default executor in discovery's list. */
     String row(String state) {
         return "{\"id\":\"s-0badcafe\",\"addr\":\"127.0.0.1:" + executorAt.getPort()
                 + "\",\"zone\":\"a\",\"kind\":\"k\",\"cell\":3,\"state\":\"" + state + "\",\"started_ms\":0}";
@@ -86,14 +87,17 @@
         return row(state).replace(EXECUTOR_ID, id).replace(":" + executorAt.getPort(), ":" + at.getPort());
     }
 
+    /** Returns a full list of discovery with these entries. */
     static String list(int version, String rows) {
         return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + rows + "]}";
     }
 
+    /** Returns an HTTP response without further headers. */
     static String answer(String status, String body) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Opens a connection to the node. */
     Peer client() {
         try {
             return net.dial(address());
@@ -102,6 +106,7 @@
         }
     }
 
+    /** Sends a job on a new connection and returns that connection. */
     Peer sendJob(String id, String jobClass, String timeLeft) {
         return client().say("POST /" + jobClass + "/x?key=7 HTTP/1.1\r\nX-Correlation-Id: " + id
                 + "\r\nX-Service-Class: " + jobClass + "\r\nX-Time-Left: " + timeLeft
@@ -143,11 +148,13 @@
         return "POST /v1/job-events HTTP/1.1\r\n" + headers + "Content-Length: " + event.length() + "\r\n\r\n" + event;
     }
 
+    /** Posts an event on a new connection and waits until the node has acknowledged it. */
     void event(String id, String members) {
         Peer caller = client().say(callback("Connection: close\r\n", id, members));
         net.until("the 204 response to the event", () -> caller.heard().startsWith("HTTP/1.1 204"));
     }
 
+    /** Posts the event that the default executor has finished a job. */
     void done(String id, String result) {
         event(
                 id,
@@ -155,6 +162,7 @@
                         + "\",\"load\":{\"x0\":3,\"inflight\":1}");
     }
 
+    /** Waits until an attempt of the job has arrived on this connection to the executor and returns the connection. */
     Peer attempt(int connection, String id) {
         net.until(
                 "the attempt of " + id,
@@ -173,15 +181,18 @@
                         && executor.stream().allMatch(each -> each.heard().endsWith("body")));
     }
 
+    /** Whether the last request on this connection to the executor has arrived in full. */
     boolean requestReceived(int connection) {
         return executor.get(connection).heard().endsWith("\r\n\r\nbody");
     }
 
+    /** Waits until the input of a connection ends with this text; removes and returns the input. */
     String awaitResponse(Peer peer, String end) {
         net.until("a response", () -> peer.heard().endsWith(end));
         return peer.take();
     }
 
+    /** Sends a call to an admin endpoint and returns its answer. */
     String callAdmin(InetSocketAddress console, String call) {
         Peer peer = net.dial(console).say(call + "\n");
         net.until("the answer to " + call, () -> peer.gone);
--- a/src/test/java/beechseam/platform/ProgramHarness.java
+++ b/src/test/java/beechseam/platform/ProgramHarness.java
@@ -12,13 +12,15 @@
 abstract class ProgramHarness extends NodeHarness {
     static final int SOCKETS = 256;
 
-    InetSocketAddress node = new InetSocketAddress("127.0.0.1", freePort());
+    /** The address at which the program accepts clients. */
+    InetSocketAddress programAddress = new InetSocketAddress("127.0.0.1", freePort());
 
     @Override
     InetSocketAddress address() {
-        return node;
+        return programAddress;
     }
 
+    /** Returns a port that no process listens on. */
     static int freePort() {
         try (Loopback net = new Loopback()) {
             return net.standIn(new ArrayList<>()).getPort();
@@ -41,10 +43,11 @@
                 .start();
     }
 
+    /** Writes the program's configuration file into the directory. */
     void configure(Path dir, InetSocketAddress discoveryAt, String settings) throws Exception {
         Files.writeString(
                 dir.resolve("config.json"),
-                "{\"listen\":\"127.0.0.1:" + node.getPort()
+                "{\"listen\":\"127.0.0.1:" + programAddress.getPort()
                         + "\",\"discovery\":\"127.0.0.1:" + discoveryAt.getPort()
                         + "\",\"limits\":{\"sockets\":" + SOCKETS + "},\"known\":"
                         + list(1, row("SERVING")) + ",\"settings\":" + settings + "}");
--- a/src/test/java/beechseam/platform/SettingsIsolationTest.java
+++ b/src/test/java/beechseam/platform/SettingsIsolationTest.java
@@ -21,8 +21,11 @@
 class SettingsIsolationTest extends NodeHarness {
     private static final long MS = 1_000_000L;
 
-    /** Kinds of settings, from one that allows every means of retry to one that allows few. */
-    enum Shape {
+    /**
+     * Kinds of settings. The first has an idempotent class and keyed classes of both narrow deduplication scopes, and
+     * allows retries, hedges, cancellations and Retry-After; the following ones allow less and less.
+     */
+    enum SettingsVariant {
         HEDGES_AND_CANCELLATIONS("read_like,zone,cell", "6", true, true, true, 2000, 300, "piggyback", "kewdale"),
         NO_HEDGES("read_like,zone,cell", "3", true, false, true, 2000, 250, "piggyback", "hall-a"),
         PULLED_REPORTS("read_like,zone", "3", true, true, false, 2000, 300, "pull", "maipu"),
@@ -32,7 +35,7 @@
         final String settings;
         final List<String> classes = new ArrayList<>();
 
-        Shape(
+        SettingsVariant(
                 String effects,
                 String attempts,
                 boolean cancel,
@@ -66,7 +69,7 @@
         }
 
         /** Returns the kind of settings of the other node. */
-        Shape next() {
+        SettingsVariant next() {
             return values()[(ordinal() + 1) % values().length];
         }
     }
@@ -79,9 +82,9 @@
         return currentNode.address();
     }
 
-    private PlatformNode startNode(Shape shape) throws Exception {
+    private PlatformNode startNode(SettingsVariant variant) throws Exception {
         int connection = discovery.size();
-        PlatformNode node = new PlatformNode(net.loop, config(discoveryAt, LISTEN, shape.settings));
+        PlatformNode node = new PlatformNode(net.loop, config(discoveryAt, LISTEN, variant.settings));
         net.until(
                 "the list request",
                 () -> discovery.size() > connection
@@ -110,11 +113,11 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Shape.class)
-    void settingsOfOneNodeDoNotAffectAnother(Shape shape) throws Exception {
-        PlatformNode node = startNode(shape);
-        PlatformNode otherNode = startNode(shape.next());
-        for (String each : shape.classes) {
+    @EnumSource(SettingsVariant.class)
+    void settingsOfOneNodeDoNotAffectAnother(SettingsVariant variant) throws Exception {
+        PlatformNode node = startNode(variant);
+        PlatformNode otherNode = startNode(variant.next());
+        for (String each : variant.classes) {
             currentNode = node;
             JobClass jobClass = node.options.settings.classes().get(node.options.findClass(each));
             Peer served = sendJobAndAwaitAttempt("served-" + each, each);
@@ -152,8 +155,8 @@
     /** After a reload with a new address of discovery, lists and versions from the old address are ignored. */
     @Test
     void previousDiscoveryIsIgnoredAfterReload() throws Exception {
-        PlatformNode node = startNode(Shape.NON_IDEMPOTENT);
-        PlatformNode otherNode = startNode(Shape.NO_HEDGES);
+        PlatformNode node = startNode(SettingsVariant.NON_IDEMPOTENT);
+        PlatformNode otherNode = startNode(SettingsVariant.NO_HEDGES);
         List<Peer> moved = new ArrayList<>();
         net.until(
                 "the watches",
@@ -162,7 +165,7 @@
                                 .count()
                         == 2);
         Peer old = discovery.get(0);
-        NodeConfig next = config(net.standIn(moved), LISTEN, Shape.NON_IDEMPOTENT.settings);
+        NodeConfig next = config(net.standIn(moved), LISTEN, SettingsVariant.NON_IDEMPOTENT.settings);
         old.say(answer("200 OK", list(9, ""))); // in transit when the new configuration is read
         node.reload(next);
         net.until(
