--- a/src/test/java/beechseam/platform/ProgramHarness.java
+++ b/src/test/java/beechseam/platform/ProgramHarness.java
@@ -8,24 +8,26 @@
 import java.util.ArrayList;
 import java.util.Map;
 
-/** The whole program in a process of its own, between the rig's stand-ins. */
+/** Test fixture that runs the complete program in a process of its own, between the harness's stand-ins. */
 abstract class ProgramHarness extends NodeHarness {
     static final int SOCKETS = 256;
 
-    InetSocketAddress node = new InetSocketAddress("127.0.0.1", freePort());
+    /** The address at which the program accepts clients. */
+    InetSocketAddress programAddress = new InetSocketAddress("127.0.0.1", freePort());
 
     @Override
     InetSocketAddress address() {
-        return node;
+        return programAddress;
     }
 
+    /** Returns a port that no process listens on. */
     static int freePort() {
         try (Loopback net = new Loopback()) {
             return net.listen(new ArrayList<>()).getPort();
         }
     }
 
-    /** Starts it by a shell that does {@code before} first; what it says goes to the file "log". */
+    /** Starts the program from a shell that first runs {@code before}; its output goes to the file "log". */
     Process startProgram(Path dir, String before, Map<String, String> environment) throws Exception {
         ProcessBuilder builder = new ProcessBuilder(
                 "bash",
@@ -41,19 +43,20 @@
                 .start();
     }
 
+    /** Writes the program's configuration file into the directory. */
     void configure(Path dir, InetSocketAddress discoveryAt, String settings) throws Exception {
         Files.writeString(
                 dir.resolve("config.json"),
-                "{\"listen\":\"127.0.0.1:" + node.getPort()
+                "{\"listen\":\"127.0.0.1:" + programAddress.getPort()
                         + "\",\"discovery\":\"127.0.0.1:" + discoveryAt.getPort()
                         + "\",\"limits\":{\"sockets\":" + SOCKETS + "},\"known\":"
                         + list(1, row("SERVING")) + ",\"settings\":" + settings + "}");
     }
 
-    /** Answers the program's first call to discovery with these rows; its watch is open then. */
+    /** Answers the program's first call to discovery with these rows and waits for its watch. */
     Peer answerListRequest(int version, String rows) {
         net.until(
-                "a call",
+                "a call to discovery",
                 () -> !discovery.isEmpty() && discovery.get(0).receivedText().endsWith("\r\n\r\n"));
         Peer agent = discovery.get(0);
         agent.take();
@@ -65,10 +68,10 @@
         return agent;
     }
 
-    /** Waits until the program says that it is ready. */
+    /** Waits until the program's health check succeeds. */
     void awaitReady() {
         Peer[] health = {null};
-        net.until("ready", () -> {
+        net.until("the program's readiness", () -> {
             if (health[0] == null
                     || health[0].disconnected
                     || health[0].receivedText().endsWith("not ready\n")) {
