--- a/src/main/java/beechseam/config/ConfigException.java
+++ b/src/main/java/beechseam/config/ConfigException.java
@@ -4,7 +4,7 @@
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A fault at a key or file: {@code problem} is the rest of the sentence. */
+    /** Creates an error at a key or file; {@code problem} completes the sentence that begins with its name. */
     public ConfigException(String key, String problem) {
         super(key + ": " + problem);
     }
@@ -13,7 +13,7 @@
         super(message);
     }
 
-    /** This exception with the file's name in the message, unless it has it already. */
+    /** This exception with the file's name in front of its message, unless the message begins with it already. */
     public ConfigException in(String file) {
         return getMessage().startsWith(file + ": ") ? this : new ConfigException(file + ": " + getMessage());
     }
--- a/src/main/java/beechseam/config/ConfigNode.java
+++ b/src/main/java/beechseam/config/ConfigNode.java
@@ -25,7 +25,7 @@
     private final Map<String, KeySchema> keys = new LinkedHashMap<>();
 
     /**
-     * @param path where the object is in its document; empty for the root
+     * @param path path of the object in its document; empty for the root
      * @param values the object's members by key
      */
     public ConfigNode(String path, Map<?, ?> values) {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Keys that have not been declared, each with the declared key of which it is a typo, or null if there is
-     * none.
+     * Keys that have not been declared, each mapped to the declared key that it probably misspells, or to null if
+     * there is none.
      */
     public Map<String, String> unknownKeys() {
         Map<String, String> unknown = new LinkedHashMap<>();
@@ -121,14 +121,14 @@
         return values;
     }
 
-    /** An error at the key, to be thrown by the caller; a scalar value is appended to the message. */
+    /** Creates an error at the key for the caller to throw; a scalar value is appended to the message. */
     public ConfigException invalid(String key, String problem) {
         Object value = values.get(key);
         boolean scalar = value instanceof String || value instanceof Number || value instanceof Boolean;
         return new ConfigException(path(key), scalar ? problem + " (it is " + value + ")" : problem);
     }
 
-    /** An error for an unknown key; {@code suggestion} is the key probably meant, or null if there is none. */
+    /** Creates an error for an unknown key; {@code suggestion} is the key probably meant, or null if there is none. */
     ConfigException unknownKey(String key, String suggestion) {
         return new ConfigException(
                 path(key),
@@ -165,7 +165,7 @@
             return defaultValue;
         }
         if (!(value instanceof String text) || text.isBlank()) {
-            throw invalid(key, "must be a text that is not empty");
+            throw invalid(key, "must be a non-empty text");
         }
         return text;
     }
--- a/src/main/java/beechseam/config/GearmanConfig.java
+++ b/src/main/java/beechseam/config/GearmanConfig.java
@@ -31,8 +31,9 @@
         Map<String, Function> functions,
         Function anyFunction) {
     /**
-     * How a job was submitted, the most urgent first: each is a job class of its own for the module, which
-     * orders by priority weight before time, and a level of the priority queues in front of it.
+     * Priority of a submitted job and whether it runs in the background, the most urgent mode first. The dispatch
+     * module has one job class per mode, since it orders jobs by priority weight before time; the priority queues
+     * in front of the module have one level per mode.
      */
     public enum Mode {
         HIGH(4, false),
@@ -93,9 +94,9 @@
     /**
      * Resource limits.
      *
-     * @param packet largest packet, in bytes
-     * @param memory all workloads and results, in bytes
-     * @param unread output buffered for a connection that does not read, in bytes
+     * @param packet size of the largest permitted packet, in bytes
+     * @param memory total size of all workloads and results, in bytes
+     * @param unread size of the output buffered for a connection that does not read, in bytes
      * @param slots jobs in flight per worker
      */
     public record Bounds(
@@ -112,7 +113,7 @@
     /**
      * Timeouts and queue scheduling; times in nanoseconds.
      *
-     * @param ageingTurn every so many turns the oldest job goes first; 0 for never
+     * @param ageingTurn every {@code ageingTurn}-th turn takes the oldest job first; 0 for never
      * @param adminShutdown whether the admin command {@code shutdown} is permitted
      */
     public record Turns(
@@ -123,7 +124,7 @@
             long stallNs,
             boolean adminShutdown) {}
 
-    /** Wildcard: stands for every function that is not configured by its name. */
+    /** Wildcard name for every function that is not configured by its own name. */
     public static final String ANY = "*";
 
     private static final long NANOS_PER_MS = 1_000_000L;
@@ -147,10 +148,11 @@
         }
     }
 
-    /** The configuration without a file: any function, on the loopback address and the well-known port. */
+    /** The configuration without a file: it serves any function on the loopback address and the well-known port. */
     public static GearmanConfig usual() {
         try {
-            // A job queues for up to an hour, as users of a job queue expect, and not for a minute.
+            // The deadline is an hour, not the default minute, since users of a job queue expect jobs to wait that
+            // long.
             return of(new ConfigNode(
                     "",
                     Map.of(
@@ -171,7 +173,7 @@
         }
     }
 
-    /** A sample with one object in each list, after it has been read: its declared keys are the schema. */
+    /** A sample with one object in each list, which has been read; its declared keys make up the schema. */
     public static ConfigNode sample() {
         ConfigNode sample = new ConfigNode(
                 "", Map.of("functions", List.of(Map.of("name", "f")), "workers", List.of(Map.of("client_id", "w"))));
@@ -189,7 +191,7 @@
      * @throws ConfigException for the first fault or unknown key
      */
     public static GearmanConfig of(ConfigNode root) throws ConfigException {
-        // The order in which keys are read is that of the schema.
+        // The schema lists the keys in the order in which they are read here.
         String zone = root.text("zone", "-");
         List<Place> places = places(root, zone);
         Map<String, Function> functions = functions(root);
@@ -237,7 +239,7 @@
         int jobs = (int) root.integer("max_jobs", 1, 100_000_000, 1_000_000);
         long memory = root.integer("max_memory_mb", 0, 1 << 20, 0) * BYTES_PER_MB; // 0: half of the heap
         memory = memory == 0 ? Runtime.getRuntime().maxMemory() / 2 : memory;
-        int perClient = (int) root.integer("max_jobs_per_client", 0, 100_000_000, 0); // 0: no limit of its own
+        int perClient = (int) root.integer("max_jobs_per_client", 0, 100_000_000, 0); // 0: only max_jobs applies
         int unread = (int) root.integer("max_unread_kb", 64, 1024 * 1024, 16 * 1024) * BYTES_PER_KB;
         return new Bounds(
                 packet,
@@ -271,7 +273,7 @@
         for (ConfigNode each : nodes) {
             String name = each.text("name");
             if (functions.put(name, function(each, name)) != null) {
-                throw each.invalid("name", "is there twice: " + name);
+                throw each.invalid("name", "is configured twice: " + name);
             }
             each.rejectUnknownKeys();
         }
@@ -284,12 +286,13 @@
     private static Function function(ConfigNode node, String name) throws ConfigException {
         long deadline = node.integer("deadline_ms", 10, MAX_MS, 60_000) * NANOS_PER_MS;
         long background = node.integer("background_deadline_ms", 10, MAX_MS, 3_600_000) * NANOS_PER_MS;
-        // The module expects a run to last the objective until it has measured some, so this leaves time to queue.
+        // Until the module has measured runs, it assumes that a run lasts as long as the objective; a quarter of the
+        // deadline therefore leaves time to queue.
         long objective = node.integer("aim_ms", 0, MAX_MS, 0) * NANOS_PER_MS; // 0: a quarter of the deadline
         objective = objective == 0 ? Math.max(NANOS_PER_MS, deadline / 4) : objective;
         double stretch = node.number("stretch", 0, 1000, 1);
         double weight = node.number("worth", 0.001, 1e9, 1);
-        // High: a Gearman job is worth running until its client gives up.
+        // The default is high, since a late result keeps its value until the client gives up.
         double lateWeight = node.number("late_worth", 0, 1, 0.9);
         Idempotency idempotency = node.choice("effect", Idempotency.class, Idempotency.NON_IDEMPOTENT);
         DeduplicationScope scope = node.choice("group", DeduplicationScope.class, DeduplicationScope.CELL);
@@ -348,7 +351,7 @@
                         each.idempotencyWindowNs(),
                         name))
                 .toList();
-        // Workers of Gearman report neither their start nor their load, so there is no slow start.
+        // Gearman workers report neither their start nor their load, so there is no slow start.
         WorkerRules rules = new WorkerRules(DRAIN_GRACE_NS, Long.MAX_VALUE, 1, 0, 1, 0, false);
         return new DispatchSettings(
                 classes,
--- a/src/main/java/beechseam/config/Json.java
+++ b/src/main/java/beechseam/config/Json.java
@@ -30,7 +30,7 @@
     public static Object parse(byte[] text, int from, int length) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text, from, length)) {
             if (parser.nextToken() == null) {
-                throw new IOException("an empty document");
+                throw new IOException("the document is empty");
             }
             return tree(parser);
         } catch (JsonProcessingException e) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Serializes an object whose members are arrays of numbers. */
+    /** Serializes an object whose members are arrays of numbers, as UTF-8. */
     public static byte[] bytes(Map<String, double[]> lists) throws IOException {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         try (JsonGenerator json = FACTORY.createGenerator(buffer)) {
--- a/src/main/java/beechseam/config/JsonSchema.java
+++ b/src/main/java/beechseam/config/JsonSchema.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Generates a JSON Schema (draft 2020-12) of a configuration from the keys that its reader has declared on a
- * sample.
+ * Generates a JSON Schema (draft 2020-12) of a configuration from the keys that were declared while a sample of it
+ * was read.
  */
 public final class JsonSchema {
     private static final String DRAFT = "https://json-schema.org/draft/2020-12/schema";
--- a/src/main/java/beechseam/config/KeySchema.java
+++ b/src/main/java/beechseam/config/KeySchema.java
@@ -8,10 +8,10 @@
  * @param kind type of the value
  * @param required whether the key must be present
  * @param defaultValue default, or null if there is none
- * @param minimum lower bound, inclusive; of numbers only
- * @param maximum upper bound, inclusive; of numbers only
+ * @param minimum lower bound, inclusive; used for numbers only
+ * @param maximum upper bound, inclusive; used for numbers only
  * @param choices permitted texts of a choice, or the wildcard in place of a list; else null
- * @param child the last object read; null for other kinds
+ * @param child the object, or the last element read of a list of objects; null for other kinds
  */
 record KeySchema(
         Kind kind,
--- a/src/main/java/beechseam/config/KeySuggestion.java
+++ b/src/main/java/beechseam/config/KeySuggestion.java
@@ -3,11 +3,11 @@
 import java.util.Set;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** Finds the known key that is probably meant by an unknown one, by their Levenshtein distance. */
+/** Finds the known key that an unknown key probably misspells, by their Levenshtein distance. */
 final class KeySuggestion {
     /** Largest distance to a suggested key, as a share of the unknown key's length. */
     private static final double MAX_SUGGESTION_SHARE = 0.5;
-    /** The same where an unknown key is permitted unless it is a typo. */
+    /** The same limit, where unknown keys are permitted and only a probable typo is an error. */
     private static final double MAX_TYPO_SHARE = 0.25;
 
     private KeySuggestion() {}
@@ -17,7 +17,7 @@
         return nearest(key, knownKeys, MAX_SUGGESTION_SHARE);
     }
 
-    /** The known key of which this is a typo; null if there is none. */
+    /** The known key that this key probably misspells; null if there is none. */
     static String forTypo(String key, Set<String> knownKeys) {
         return nearest(key, knownKeys, MAX_TYPO_SHARE);
     }
--- a/src/main/java/beechseam/config/MemberList.java
+++ b/src/main/java/beechseam/config/MemberList.java
@@ -17,7 +17,7 @@
  * @param version version assigned by discovery
  * @param full whether it is the full list, or a delta
  * @param servers the valid entries, in order
- * @param unusable ids of invalid entries, as far as they had one
+ * @param unusable ids of the invalid entries that have an id
  */
 public record MemberList(long version, boolean full, List<Server> servers, Set<String> unusable) {
     private static final String STATE_READY = "SERVING";
@@ -36,7 +36,7 @@
      * An entry.
      *
      * @param address null only if the server is removed
-     * @param startedMs the latest start by the wall clock of discovery, in Unix milliseconds; 0 for long ago
+     * @param startedMs time of the latest start by discovery's wall clock, in Unix milliseconds; 0 for long ago
      */
     public record Server(
             String id,
@@ -52,7 +52,7 @@
          * Converts the entry to the type of the dispatch module.
          *
          * @param target the number assigned to the id
-         * @param startedAt when it started on the host's clock, in nanoseconds; 0 for long ago
+         * @param startedAt time of its start by the host's clock, in nanoseconds; 0 for long ago
          */
         public WorkerEndpoint worker(long target, long startedAt) {
             return new WorkerEndpoint(target, cell, zone, kind, startedAt, state, weight);
@@ -60,16 +60,16 @@
     }
 
     /**
-     * Parses a list from the network. An invalid entry must not invalidate the others: it is ignored. A full
-     * list that names a server twice is rejected, since it is unknown which entry is valid.
+     * Parses a list from the network. An invalid entry is ignored, so that it does not invalidate the others. A
+     * full list that names a server twice is rejected, since it is unknown which entry is valid.
      *
-     * @param complaints receives the number of invalid entries and the fault of the first, if there are any
+     * @param warnings receives the number of invalid entries and the fault of the first, if there are any
      * @throws IOException if it is not a list
      */
     public static MemberList of(Map<?, ?> map, Consumer<String> warnings) throws IOException {
         try {
             ConfigNode list = new ConfigNode("", map);
-            if (!list.has("version") || !list.has("servers")) { // else any object would be an empty list
+            if (!list.has("version") || !list.has("servers")) { // otherwise any object would pass as an empty list
                 throw list.invalid(list.has("version") ? "servers" : "version", "is missing");
             }
             List<Server> servers = new ArrayList<>();
--- a/src/main/java/beechseam/config/ModuleOptions.java
+++ b/src/main/java/beechseam/config/ModuleOptions.java
@@ -17,7 +17,7 @@
 
 /**
  * The settings object of the platform, converted to the types of the dispatch module, and the columns of its
- * load reports. The texts of settings are constants here, beside the terms used in the program.
+ * load reports. The constants hold the platform's texts for values that the program names by its own terms.
  */
 public final class ModuleOptions {
     private static final String EFFECT_IDEMPOTENT = "read_like";
@@ -29,11 +29,11 @@
     private static final String DISCOVERY_ON_REQUEST = "on_request";
     private static final String COUNTED_BY_WORK = "work";
     private static final String WEIGHT_SOURCE_LIVE = "live";
-    /** Names of the two columns whose meaning is a setting. */
+    /** Names of the two extra columns, whose meaning is configured. */
     private static final String EXTRA_COLUMN_0 = "x0";
 
     private static final String EXTRA_COLUMN_1 = "x1";
-    /** Texts by which the meaning of an extra column is recognized. */
+    /** Texts that the configured meaning of an extra column contains. */
     private static final String MEANS_SLOTS = "slot";
 
     private static final String MEANS_MEMORY = "memory";
@@ -195,7 +195,7 @@
     public int classIndex(String name) throws IOException {
         int index = findClass(name);
         if (index < 0) {
-            throw new IOException("a job of no known class: " + name);
+            throw new IOException("unknown job class: " + name);
         }
         return index;
     }
@@ -210,8 +210,8 @@
      * Converts a load report that lists its values by column.
      *
      * @param gauge values by column
-     * @param size how many of them the report has
-     * @return the report, with NaN for what it lacks; null if it is empty
+     * @param size number of values that the report has
+     * @return the report, with NaN for values that it lacks; null if it is empty
      */
     public LoadReport load(double[] gauge, int size) {
         return size == 0
@@ -225,9 +225,9 @@
     }
 
     /**
-     * Converts a load report that names its values; the platform's sockets use short names.
+     * Converts a load report whose values have names. The platform's sockets use short names, which are tried first.
      *
-     * @param named the value of a name, or NaN
+     * @param named returns the value of a name, or NaN if the report lacks it
      */
     public LoadReport load(ToDoubleFunction<String> named) {
         return new LoadReport(
--- a/src/main/java/beechseam/config/NodeConfig.java
+++ b/src/main/java/beechseam/config/NodeConfig.java
@@ -10,20 +10,20 @@
 import java.util.Map;
 
 /**
- * Configuration of a platform node. PROXY_CONFIG and the other environment variables are read, validated and
- * given defaults here only.
+ * Configuration of a platform node. Only this class reads and validates PROXY_CONFIG and the other environment
+ * variables and applies their defaults.
  *
  * @param name the node's name
- * @param listen where clients connect
- * @param discovery where discovery listens
- * @param discoveryHost the same as text
- * @param console where the admin endpoint listens, or null for none
+ * @param listen address on which clients connect
+ * @param discovery address of discovery
+ * @param discoveryHost address of discovery as configured
+ * @param console address of the admin endpoint, or null for none
  * @param state directory of the state files, or null for none
- * @param seed of the random draws
- * @param sockets limit of open sockets
- * @param known the cached list of discovery; empty if there is none
+ * @param seed seed of the random number generators
+ * @param sockets limit on open sockets
+ * @param known discovery's list as cached in the configuration; empty if there is none
  * @param options settings of the dispatch module
- * @param connectTimeoutNs timeout of connecting to a server, in nanoseconds
+ * @param connectTimeoutNs timeout for connecting to a server, in nanoseconds
  */
 public record NodeConfig(
         String name,
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Reads the configuration again while the node runs. PROXY_DISCOVERY is the address at the start: an address
-     * in the file, which may have been written since, takes precedence.
+     * Reads the configuration again while the node runs. PROXY_DISCOVERY holds the address from the start of the
+     * process, so an address in the file, which may be more recent, takes precedence.
      *
      * @throws ConfigException if the file cannot be read or the configuration is invalid
      */
@@ -68,7 +68,7 @@
         put(values, "name", environment.get("PROXY_NAME"));
         put(values, "listen", environment.get("PROXY_LISTEN"));
         put(values, "console", environment.get("PROXY_CONSOLE"));
-        if (values.get("state_dir") == null) { // TMPDIR is shared, so the file takes precedence
+        if (values.get("state_dir") == null) { // TMPDIR is a shared directory, so the file takes precedence
             put(values, "state_dir", environment.get("TMPDIR"));
         }
         if (!reload || values.get("discovery") == null) {
@@ -103,7 +103,7 @@
             throw new ConfigException(
                     file, "is not JSON: " + e.getMessage().lines().findFirst().orElse(""));
         }
-        throw new ConfigException(file, "must hold one object");
+        throw new ConfigException(file, "must contain one JSON object");
     }
 
     /**
@@ -136,8 +136,8 @@
     }
 
     /**
-     * The platform writes this file and may add keys, so an unknown key is only logged. One that is a typo of a
-     * known key is an error, since it would be ignored for good.
+     * The platform writes this file and may add keys, so an unknown key is only logged. A probable typo of a known
+     * key is an error, since the setting that it was meant to change would keep its default unnoticed.
      */
     private static void warnUnknownKeys(ConfigNode root) throws ConfigException {
         for (Map.Entry<String, String> each : root.unknownKeys().entrySet()) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** The listen address as a part of file names. */
+    /** The listen address in a form that can be part of a file name. */
     public String address() {
         return listen.getAddress().getHostAddress().replace(':', '-') + "-" + listen.getPort();
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Validates the settings that the module requires or would misinterpret. */
+    /** Validates the settings that the dispatch module requires, and those whose invalid values it would misread. */
     private static void validateSettings(ConfigNode settings) throws ConfigException {
         if (settings.objects("Classes").isEmpty()) {
             throw settings.invalid("Classes", "must name at least one class");
--- a/src/test/java/beechseam/config/ConfigTest.java
+++ b/src/test/java/beechseam/config/ConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reading of the configuration files of platform node and Gearman server: defaults, precedence, errors. */
+/** Tests reading the configurations of platform node and Gearman server: defaults, precedence and errors. */
 class ConfigTest {
     private static final String VALID = """
         {"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -35,35 +35,35 @@
         assertEquals(250_000_000L, config.connectTimeoutNs());
         assertEquals(3, config.options().settings.limits().maxAttempts());
         assertEquals(1, config.known().servers().size());
-        NodeConfig bare =
+        NodeConfig defaults =
                 NodeConfig.of(parse(VALID.replace("\"limits\"", "\"x\"").replace("\"known\"", "\"y\"")));
-        assertEquals(1024, bare.sockets());
-        assertTrue(bare.known().servers().isEmpty());
-        assertNull(bare.console(), "no admin endpoint unless one is configured");
+        assertEquals(1024, defaults.sockets());
+        assertTrue(defaults.known().servers().isEmpty());
+        assertNull(defaults.console(), "no admin endpoint unless one is configured");
     }
 
-    /** A site without health checks, hedging and utilization, and with its own values of the rules. */
+    /** The settings are those of a site without health checks, hedging or utilization, and with other worker rules. */
     @Test
     void settingsOfAnotherSiteAreReadAndErrorsNameTheKey() throws Exception {
-        String plain = "{\"Classes\":[{\"Name\":\"c\",\"AimNs\":5}],\"Limits\":{\"MaxAttempts\":3}}";
-        String other = VALID.replace(plain, """
+        String validSettings = "{\"Classes\":[{\"Name\":\"c\",\"AimNs\":5}],\"Limits\":{\"MaxAttempts\":3}}";
+        String otherSite = VALID.replace(validSettings, """
             {"Classes":[{"Name":"book","AimNs":300000000,"DeadlineNs":12000000000,"Worth":8,
               "Effect":"idempotency_key","Group":"zone","WindowNs":20000000000}],
              "Limits":{"MaxAttempts":3,"Cancel":true,"Probes":false,"SecondCopies":false},
              "Rules":{"DrainGraceNs":250000000,"StartCapacity":0.12,"ColdNs":23000000000},
              "LoadInfo":{"How":"piggyback","Columns":["outstanding","throughput","backlog","x0"]},
              "Specifics":{"ReportX0":"free slots","TellsStart":true},"CountedBy":"request"}""");
-        ModuleOptions options = NodeConfig.of(parse(other)).options();
+        ModuleOptions options = NodeConfig.of(parse(otherSite)).options();
         assertEquals(250_000_000L, options.settings.rules().drainGraceNs());
         assertEquals(0.12, options.settings.rules().initialCapacity());
         assertFalse(
                 options.settings.limits().hedging() || options.settings.limits().healthChecks());
         assertFalse(options.settings.weightByWork());
         LoadReport load = options.load(new double[] {5, 30, 2, 1}, 4);
-        assertEquals(new LoadReport(5, 2, 1, Double.NaN, Double.NaN), load, "what it does not report is NaN");
+        assertEquals(new LoadReport(5, 2, 1, Double.NaN, Double.NaN), load, "values that are not reported are NaN");
         String message = assertThrows(
                         ConfigException.class,
-                        () -> NodeConfig.of(parse(other.replace("\"AimNs\":300000000", "\"AimNs\":-1"))))
+                        () -> NodeConfig.of(parse(otherSite.replace("\"AimNs\":300000000", "\"AimNs\":-1"))))
                 .getMessage();
         assertTrue(message.startsWith("settings.Classes[0].AimNs: "), message);
     }
@@ -119,7 +119,7 @@
                 ConfigException.class, () -> NodeConfig.read(dir.resolve("none").toString()));
     }
 
-    /** PROXY_DISCOVERY is the address at the start: on a reload the file may be more recent. */
+    /** PROXY_DISCOVERY holds the address from the start of the process; on a reload the file may be more recent. */
     @Test
     void discoveryAddressOfFileTakesPrecedenceOnReload(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c.json"), VALID);
--- a/src/test/java/beechseam/config/SchemaTest.java
+++ b/src/test/java/beechseam/config/SchemaTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The schema in deploy/ is generated from the reader of the Gearman file, and accepts the same files. */
+/** Checks that the schema in deploy/ is up to date and that it accepts the same files as the Gearman file's reader. */
 class SchemaTest {
     private static final Path SCHEMA = Path.of("deploy", "gearman.schema.json");
 
@@ -55,7 +55,7 @@
 
     @Test
     void unknownKeyIsRejectedWithSuggestion() throws Exception {
-        for (String[] each : new String[][] {
+        for (String[] messageAndFile : new String[][] {
             {"stoer: is not known here; known are zone, workers, functions,", "{\"functions\":\"*\",\"stoer\":1}"},
             {"max_job: is not known here; did you mean max_jobs?", "{\"functions\":\"*\",\"max_job\":1}"},
             {
@@ -71,9 +71,9 @@
                 "{\"functions\":[{\"name\":\"a\",\"max_queue\":{\"hihg\":1}}]}"
             }
         }) {
-            String message = assertThrows(ConfigException.class, () -> GearmanConfig.of(parse(each[1])))
+            String message = assertThrows(ConfigException.class, () -> GearmanConfig.of(parse(messageAndFile[1])))
                     .getMessage();
-            assertTrue(message.startsWith(each[0]), message);
+            assertTrue(message.startsWith(messageAndFile[0]), message);
         }
     }
 
