--- a/src/main/java/beechseam/importer/ImportException.java
+++ b/src/main/java/beechseam/importer/ImportException.java
@@ -1,10 +1,10 @@
 package beechseam.importer;
 
-/** A file that cannot be taken over; the message names the line or key. */
+/** A file cannot be imported; the message names the line or key at fault. */
 public final class ImportException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** The message names the place in the file and what is wrong there. */
+    /** Creates an error; the message names the place in the file and the problem. */
     public ImportException(String message) {
         super(message);
     }
--- a/src/main/java/beechseam/importer/Importer.java
+++ b/src/main/java/beechseam/importer/Importer.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.zip.CRC32;
 
-/** Takes over the workers of Apache's balancer or mod_jk files as a list in discovery's form. */
+/** Converts the workers in an Apache balancer or mod_jk file to a list in discovery's format. */
 public final class Importer {
-    /** What kind of file it is; {@code AUTO} looks. */
+    /** Format of a file; {@code AUTO} detects it from the content. */
     public enum Form {
         AUTO,
         APACHE,
@@ -22,34 +22,43 @@
 
     private final List<String> warnings = new ArrayList<>();
 
-    /** What was left out or changed, in plain words. */
+    /** Messages about workers that were not imported, or whose address a node does not accept. */
     public List<String> warnings() {
         return warnings;
     }
 
-    /** Reads a file of that form; workers get the zone where the file names none. Warnings are kept beside. */
+    /**
+     * Reads a file of the given format and collects warnings.
+     *
+     * @param zone zone of workers for which the file names none
+     * @throws ImportException if the file is invalid, has an unknown format, or contains no worker to import
+     */
     public List<Route> read(String text, Form form, String zone) throws ImportException {
-        Form found = form != Form.AUTO
+        Form detected = form != Form.AUTO
                 ? form
                 : ApacheBalancer.looksLike(text) ? Form.APACHE : ModJkWorkers.looksLike(text) ? Form.MODJK : null;
-        if (found == null) {
+        if (detected == null) {
             throw new ImportException("neither an Apache balancer nor a mod_jk worker file");
         }
-        List<Route> routes = found == Form.APACHE
+        List<Route> routes = detected == Form.APACHE
                 ? ApacheBalancer.read(text, zone, warnings)
                 : ModJkWorkers.read(text, zone, warnings);
         if (routes.isEmpty()) {
-            throw new ImportException("no worker to take over was found");
+            throw new ImportException("no worker to import was found");
         }
         for (Route r : routes) {
             if (!r.address().matches("[0-9.]+:\\d+|\\[.*")) {
-                warnings.add(r.name() + ": " + r.address() + " is a name; a node wants an IP address");
+                warnings.add(r.name() + ": " + r.address() + " is a host name; a node requires an IP address");
             }
         }
         return routes;
     }
 
-    /** The list as JSON, such as {@code known} in a node's configuration holds. */
+    /**
+     * Writes the list as JSON, in the format of {@code known} in a node's configuration.
+     *
+     * @throws ImportException if a worker is listed twice
+     */
     public void write(List<Route> routes, Writer out) throws IOException, ImportException {
         Set<String> ids = new HashSet<>();
         try (JsonGenerator json = new JsonFactory().createGenerator(out).useDefaultPrettyPrinter()) {
@@ -60,7 +69,7 @@
             for (Route r : routes) {
                 String id = id(r);
                 if (!ids.add(id)) {
-                    throw new ImportException(r.name() + " at " + r.address() + ": there already");
+                    throw new ImportException(r.name() + " at " + r.address() + ": the worker is listed twice");
                 }
                 json.writeStartObject();
                 json.writeStringField("id", id);
@@ -78,7 +87,7 @@
         }
     }
 
-    /** The same on every node and in every run: it comes of the name and address alone. */
+    /** Derives the id from kind, name and address only, so that it is the same on every node and in every run. */
     private static String id(Route r) {
         CRC32 sum = new CRC32();
         sum.update((r.kind() + "\0" + r.name() + "\0" + r.address()).getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/beechseam/importer/ModJkWorkers.java
+++ b/src/main/java/beechseam/importer/ModJkWorkers.java
@@ -12,7 +12,7 @@
 
 /** Reads mod_jk's {@code workers.properties}: the members of its load balancers, or its plain workers. */
 final class ModJkWorkers {
-    private static final int MOST_REFERENCES = 20;
+    private static final int MAX_REFERENCES = 20;
 
     private final Map<String, String> keys = new LinkedHashMap<>();
     private final List<String> warnings;
@@ -56,14 +56,14 @@
         for (String key : lines.stringPropertyNames().stream().sorted().toList()) {
             keys.put(key, lines.getProperty(key).trim());
         }
-        for (Map.Entry<String, String> each : keys.entrySet()) { // variables of the file: $(name)
+        for (Map.Entry<String, String> each : keys.entrySet()) { // replaces the file's variables, $(name)
             String value = each.getValue();
-            for (int i = 0; i < MOST_REFERENCES && value.contains("$("); i++) {
+            for (int i = 0; i < MAX_REFERENCES && value.contains("$("); i++) {
                 int from = value.indexOf("$(");
                 int to = value.indexOf(')', from);
                 String variable = to < 0 ? null : keys.get(value.substring(from + 2, to));
                 if (variable == null) {
-                    throw new ImportException(each.getKey() + ": an unknown variable in '" + value + "'");
+                    throw new ImportException(each.getKey() + ": unknown variable in '" + value + "'");
                 }
                 value = value.substring(0, from) + variable + value.substring(to + 1);
             }
@@ -81,20 +81,21 @@
         return words;
     }
 
-    /** A worker's directive, its own or that of the workers it refers to. */
-    private String value(String name, String directive, String otherwise) throws ImportException {
+    /** A worker's directive: its own, else that of the first worker in its chain of references that has one. */
+    private String value(String name, String directive, String defaultValue) throws ImportException {
         String at = "worker." + name;
-        for (int i = 0; i < MOST_REFERENCES; i++) {
+        for (int i = 0; i < MAX_REFERENCES; i++) {
             String value = keys.get(at + "." + directive);
             if (value != null) {
                 return value;
             }
             at = keys.get(at + ".reference");
             if (at == null) {
-                return otherwise;
+                return defaultValue;
             }
         }
-        throw new ImportException("worker." + name + ".reference: goes in a circle");
+        throw new ImportException(
+                "worker." + name + ".reference: is circular or at least " + MAX_REFERENCES + " levels deep");
     }
 
     private void member(String name, String balancer, String zone, List<Route> routes) throws ImportException {
@@ -102,7 +103,7 @@
         String activation = value(name, "activation", "active").toLowerCase(java.util.Locale.ROOT);
         char state = activation.isEmpty() ? 'a' : activation.charAt(0);
         if (state == 's') {
-            warnings.add(key + ": stopped, left out");
+            warnings.add(key + ": is stopped and is not imported");
             return;
         }
         String host = value(name, "host", "localhost");
@@ -115,7 +116,7 @@
         ApacheBalancer.number(port, 1, 65535, key + ".port");
         double factor = ApacheBalancer.number(value(name, "lbfactor", "1"), 0, 1000, key + ".lbfactor");
         int distance = (int) ApacheBalancer.number(value(name, "distance", "0"), 0, 1_000_000, key + ".distance");
-        // A domain is a group of workers that share their sessions: the nearest thing to a zone.
+        // A domain is a group of workers that share sessions; it is mod_jk's closest equivalent of a zone.
         routes.add(new Route(
                 value(name, "route", value(name, "jvm_route", name)),
                 host + ":" + port,
--- a/src/main/java/beechseam/importer/package-info.java
+++ b/src/main/java/beechseam/importer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reads Apache httpd's balancer configuration and mod_jk's worker files and gives them as a route table.
+ * Converts Apache httpd's balancer configurations and mod_jk's worker files to lists in discovery's format.
  */
 package beechseam.importer;
--- a/src/test/java/beechseam/importer/ImporterTest.java
+++ b/src/test/java/beechseam/importer/ImporterTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the import of Apache balancer and mod_jk files. */
 class ImporterTest {
     private static final String APACHE = """
         # a comment
@@ -62,7 +63,7 @@
                         new Route("10.1.0.21:80", "10.1.0.21:80", "z", "jobs", 0, 1, true),
                         new Route("10.1.0.22:81", "10.1.0.22:81", "z", "other", 0, 1, false)),
                 read(APACHE, importer));
-        assertEquals(1, importer.warnings().size(), "the hot standby");
+        assertEquals(1, importer.warnings().size(), "one warning, for the hot standby");
     }
 
     @Test
@@ -74,18 +75,18 @@
                         new Route("n2", "10.2.0.2:9000", "z", "router", 2, 3, true),
                         new Route("solo", "10.2.0.9:8009", "z", "solo", 0, 1, false)),
                 read(MODJK, importer));
-        assertEquals(List.of("worker.n3: stopped, left out"), importer.warnings());
+        assertEquals(List.of("worker.n3: is stopped and is not imported"), importer.warnings());
     }
 
-    /** What it writes is what a node reads, and ids come out alike every time. */
+    /** A node can read the written list, and repeated imports of a file assign the same ids. */
     @Test
-    void theListIsInDiscoverysForm() throws Exception {
-        StringWriter once = new StringWriter();
-        StringWriter twice = new StringWriter();
-        new Importer().write(read(APACHE, new Importer()), once);
-        new Importer().write(read(APACHE, new Importer()), twice);
-        assertEquals(once.toString(), twice.toString());
-        byte[] text = once.toString().getBytes(StandardCharsets.UTF_8);
+    void writtenListHasDiscoveryFormatAndStableIds() throws Exception {
+        StringWriter first = new StringWriter();
+        StringWriter second = new StringWriter();
+        new Importer().write(read(APACHE, new Importer()), first);
+        new Importer().write(read(APACHE, new Importer()), second);
+        assertEquals(first.toString(), second.toString());
+        byte[] text = first.toString().getBytes(StandardCharsets.UTF_8);
         MemberList list = MemberList.of((Map<?, ?>) Json.parse(text, 0, text.length), Assertions::fail);
         assertTrue(list.full());
         assertEquals(
@@ -109,16 +110,16 @@
                 "worker.list=a~worker.a.reference=worker.a | worker.a.reference",
                 "nothing of the kind | neither"
             })
-    void whatCannotBeTakenOverIsNamed(String text, String problem) {
+    void errorNamesLineOrKey(String text, String problem) {
         String message = assertThrows(ImportException.class, () -> read(text.replace('~', '\n'), new Importer()))
                 .getMessage();
         assertTrue(message.startsWith(problem), message);
     }
 
     @Test
-    void aWorkerThatIsThereTwiceIsNamed() throws ImportException {
-        List<Route> twice =
+    void duplicateWorkerIsRejected() throws ImportException {
+        List<Route> duplicates =
                 read("<Proxy balancer://a>\nBalancerMember http://h\nBalancerMember http://h\n", new Importer());
-        assertThrows(ImportException.class, () -> new Importer().write(twice, new StringWriter()));
+        assertThrows(ImportException.class, () -> new Importer().write(duplicates, new StringWriter()));
     }
 }
