--- a/src/main/java/beechseam/cli/CheckConfig.java
+++ b/src/main/java/beechseam/cli/CheckConfig.java
@@ -8,13 +8,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads a configuration as {@code serve} would and says what is wrong with it. */
+/** Validates a configuration as {@code serve} does and reports the first error. */
 @Parameters(commandDescription = "Check a node's configuration without starting it")
 final class CheckConfig extends Main.Command {
-    @Parameter(names = "--config", description = "The node's configuration, in place of PROXY_CONFIG")
+    @Parameter(names = "--config", description = "The node's configuration file, instead of the one in PROXY_CONFIG")
     private String config;
 
-    @Parameter(names = "--gearman", description = "An operator's file for Gearman's protocol")
+    @Parameter(names = "--gearman", description = "The operator's file for the Gearman server")
     private String gearman;
 
     @Override
@@ -24,9 +24,9 @@
             environment.put("PROXY_CONFIG", config);
         }
         if (gearman != null) {
-            GearmanConfig second = GearmanConfig.read(gearman);
-            System.out.println("good: " + second.name() + " on " + second.listen() + ", "
-                    + second.functions().size() + " functions");
+            GearmanConfig gearmanConfig = GearmanConfig.read(gearman);
+            System.out.println("good: " + gearmanConfig.name() + " on " + gearmanConfig.listen() + ", "
+                    + gearmanConfig.functions().size() + " functions");
             if (!environment.containsKey("PROXY_CONFIG")) {
                 return 0;
             }
--- a/src/main/java/beechseam/cli/Conformance.java
+++ b/src/main/java/beechseam/cli/Conformance.java
@@ -21,23 +21,23 @@
 import java.util.regex.PatternSyntaxException;
 
 /**
- * Plays the conformance suite against a Gearman server on a loopback address. Exit status 1: a case failed.
+ * Runs the conformance suite against a Gearman server on a loopback address. Exit status 1 means that a case failed.
  */
-@Parameters(commandDescription = "Play the Gearman conformance suite against a server on a loopback address")
+@Parameters(commandDescription = "Run the Gearman conformance suite against a server on a loopback address")
 final class Conformance extends Main.Command {
     @Parameter(description = "HOST:PORT", required = true)
     private String server;
 
-    @Parameter(names = "--only", description = "Only cases whose FILE/NAME has this pattern in it")
+    @Parameter(names = "--only", description = "Run only the cases whose FILE/NAME has a match of this pattern")
     private String only = "";
 
-    @Parameter(names = "--list", description = "Only list the cases; HOST:PORT is not called")
+    @Parameter(names = "--list", description = "List the cases without connecting to HOST:PORT")
     private boolean list;
 
     @Parameter(names = "--json", description = "Write the results to this file as well")
     private String json;
 
-    @Parameter(names = "--script", description = "A transcript file to play in place of the suite")
+    @Parameter(names = "--script", description = "A transcript file to run instead of the suite; may be repeated")
     private List<String> scripts = new ArrayList<>();
 
     @Override
@@ -66,7 +66,7 @@
             System.err.print("\r\u001b[K");
         }
         if (json != null) {
-            Json.rows(Path.of(json), results.stream().map(Conformance::named).toList());
+            Json.rows(Path.of(json), results.stream().map(Conformance::toRow).toList());
         }
         return report(results);
     }
@@ -83,7 +83,7 @@
             }
             all.removeIf(c -> !pattern.matcher(c.id()).find());
             if (all.isEmpty()) {
-                throw new ConfigException("--only", "no case has '" + only + "' in it");
+                throw new ConfigException("--only", "no case matches '" + only + "'");
             }
             return all;
         } catch (PatternSyntaxException e) {
@@ -93,13 +93,13 @@
         }
     }
 
-    /** Only this machine: the suite sends what no server out there has asked for. */
+    /** Parses the server's address. Only loopback is allowed, so that no other machine receives test traffic. */
     private InetSocketAddress address() throws IOException, ConfigException {
         int colon = server.lastIndexOf(':');
         try {
             InetAddress host = InetAddress.getByName(colon < 0 ? "" : server.substring(0, colon));
             if (!host.isLoopbackAddress()) {
-                throw new ConfigException("HOST:PORT", server + " is no loopback address");
+                throw new ConfigException("HOST:PORT", server + " is not a loopback address");
             }
             return new InetSocketAddress(host, Integer.parseInt(server.substring(colon + 1)));
         } catch (IllegalArgumentException | java.net.UnknownHostException e) {
@@ -122,15 +122,15 @@
         return passed == results.size() ? 0 : 1;
     }
 
-    private static Map<String, Object> named(Player.Result r) {
-        Map<String, Object> named = new LinkedHashMap<>();
-        named.put("file", r.of().file());
-        named.put("case", r.of().name());
-        named.put("passed", r.passed());
-        named.put("ms", r.tookNs() / 1e6);
+    private static Map<String, Object> toRow(Player.Result r) {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("file", r.of().file());
+        row.put("case", r.of().name());
+        row.put("passed", r.passed());
+        row.put("ms", r.tookNs() / 1e6);
         if (!r.passed()) {
-            named.put("why", r.why());
+            row.put("why", r.why());
         }
-        return named;
+        return row;
     }
 }
--- a/src/main/java/beechseam/cli/FleetModel.java
+++ b/src/main/java/beechseam/cli/FleetModel.java
@@ -12,21 +12,23 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Measures the membership protocol in virtual time and prints a table, one row a case. */
-@Parameters(commandDescription = "Measure membership at many sizes, in virtual time")
+/** Measures the membership protocol in virtual time and prints a table with one row per case. */
+@Parameters(commandDescription = "Measure the membership protocol at several cluster sizes, in virtual time")
 final class FleetModel extends Main.Command {
     private static final int MIN_SIZE = 2;
     private static final int MAX_SIZE = 100_000;
     private static final int MAX_SCALE = 100;
     private static final int[] DEFAULT_SIZES = {3, 10, 100};
 
-    @Parameter(description = "SIZE ...: numbers of nodes; 3 10 100 where none is given")
+    @Parameter(description = "SIZE ...: numbers of nodes; 3 10 100 by default")
     private List<Integer> sizes = new ArrayList<>();
 
-    @Parameter(names = "--seed", description = "For everything that is drawn")
+    @Parameter(names = "--seed", description = "Seed of the random numbers")
     private long seed = 1;
 
-    @Parameter(names = "--scale", description = "Of deaths and node-hours; 1 is the usual measurement")
+    @Parameter(
+            names = "--scale",
+            description = "Factor for node failures and node-hours; 1 is the standard measurement")
     private double scale = 1;
 
     @Parameter(names = "--json", description = "Write the table to this file as well")
--- a/src/main/java/beechseam/cli/Import.java
+++ b/src/main/java/beechseam/cli/Import.java
@@ -11,16 +11,17 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Takes over the workers of a foreign balancer's file. */
-@Parameters(commandDescription = "Print the workers of an Apache balancer or mod_jk file as a route table")
+/** Prints the workers in another load balancer's file as a list in discovery's format. */
+@Parameters(
+        commandDescription = "Print the workers in an Apache balancer or mod_jk file as a list in discovery's format")
 final class Import extends Main.Command {
     @Parameter(description = "FILE", required = true)
     private String file;
 
-    @Parameter(names = "--form", description = "auto, apache or modjk")
+    @Parameter(names = "--form", description = "Format of the file: auto, apache or modjk")
     private Importer.Form form = Importer.Form.AUTO;
 
-    @Parameter(names = "--zone", description = "The zone of workers whose file names none")
+    @Parameter(names = "--zone", description = "Zone of workers for which the file names none")
     private String zone = "-";
 
     @Override
--- a/src/main/java/beechseam/cli/LoadLibrary.java
+++ b/src/main/java/beechseam/cli/LoadLibrary.java
@@ -7,26 +7,29 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Measures the library with stand-in workers in this process. Exit status 1: its accounts do not add up. */
-@Parameters(commandDescription = "Dispatch through the library under load, and account for every outcome")
+/**
+ * Measures the library with simulated workers in this process. Exit status 1 means that outcomes were missing or
+ * wrong.
+ */
+@Parameters(commandDescription = "Dispatch through the library under load and check every outcome")
 final class LoadLibrary extends Main.Command {
-    @Parameter(names = "--dispatches", description = "How many")
+    @Parameter(names = "--dispatches", description = "Number of dispatches")
     private int dispatches = 1_000_000;
 
-    @Parameter(names = "--threads", description = "From how many threads")
+    @Parameter(names = "--threads", description = "Number of dispatching threads")
     private int threads = 8;
 
-    @Parameter(names = "--workers", description = "Through how many stand-in workers")
+    @Parameter(names = "--workers", description = "Number of simulated workers")
     private int workers = 32;
 
-    @Parameter(names = "--seed", description = "For what the workers do")
+    @Parameter(names = "--seed", description = "Seed of the workers' behaviour")
     private long seed = 4730;
 
     @Override
     int run() throws IOException, ConfigException {
-        bounded("--dispatches", dispatches, 100_000_000);
-        bounded("--threads", threads, 256);
-        bounded("--workers", workers, 10_000);
+        checkCount("--dispatches", dispatches, 100_000_000);
+        checkCount("--threads", threads, 256);
+        checkCount("--workers", workers, 10_000);
         try {
             LibraryLoad load = new LibraryLoad(System.err::println);
             System.out.println("overhead " + load.overhead(Math.min(dispatches, 50_000)));
--- a/src/main/java/beechseam/cli/Logging.java
+++ b/src/main/java/beechseam/cli/Logging.java
@@ -11,17 +11,17 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * What stands behind {@link System.Logger}. Plain text is the runtime's own and costs nothing at the start;
- * Logback is loaded only where JSON is asked for.
+ * Configures the backend of {@link System.Logger}. Plain text uses the JDK's own logging, which adds no start-up
+ * time; Logback is loaded only if JSON is requested.
  */
 final class Logging {
-    /** The form of each record on standard error. */
+    /** Format of the log records on standard error. */
     enum Format {
         TEXT,
         JSON
     }
 
-    /** What is told, from the most to the least. */
+    /** Lowest severity that is logged, from the most to the least verbose. */
     enum Threshold {
         TRACE(Level.FINER),
         DEBUG(Level.FINE),
@@ -52,7 +52,7 @@
         }
     }
 
-    /** A class of its own, so that without it no class of the library is looked for. */
+    /** Configures Logback; a separate class, so that Logback's classes are looked up only if JSON is requested. */
     private static final class Json {
         static void set(Threshold threshold) {
             LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/src/main/java/beechseam/cli/Main.java
+++ b/src/main/java/beechseam/cli/Main.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The command line. */
+/** Entry point of the program: parses the command line and runs the command that it names. */
 public final class Main {
-    /** A sub-command: done when it returns. */
+    /** A subcommand, whose annotated fields are its options. */
     abstract static class Command {
         @Parameter(
                 names = {"--help", "-h"},
@@ -20,18 +20,18 @@
                 description = "Show this command's options")
         private boolean help;
 
-        /** Gives the process's exit status. */
+        /** Runs the command to its end and returns the exit status of the process. */
         abstract int run() throws IOException, ConfigException;
 
-        /** Refuses a count of the command line that is under 1 or over {@code most}, by its name. */
-        static void bounded(String key, int value, int most) throws ConfigException {
-            if (value < 1 || value > most) {
-                throw new ConfigException(key, "must be from 1 to " + most + ", not " + value);
+        /** Rejects a count on the command line that is below 1 or above {@code maximum}; the error names its key. */
+        static void checkCount(String key, int value, int maximum) throws ConfigException {
+            if (value < 1 || value > maximum) {
+                throw new ConfigException(key, "must be from 1 to " + maximum + ", not " + value);
             }
         }
     }
 
-    @Parameters(commandDescription = "Speak the simulator's wire on standard input and output")
+    @Parameters(commandDescription = "Speak the simulator's protocol on standard input and output")
     private static final class WireHost extends Command {
         @Override
         int run() {
@@ -53,12 +53,15 @@
     @Parameter(
             names = {"--help", "-h"},
             help = true,
-            description = "Show what there is")
+            description = "Show the commands")
     private boolean help;
 
     private Main() {}
 
-    /** Runs the command that the arguments name and exits with its status: 0, 1, or 2 for a faulty call. */
+    /**
+     * Runs the command that the arguments name and exits with its status: 0 for success, 1 for a failure, 2 for
+     * invalid arguments or an invalid configuration.
+     */
     public static void main(String[] args) {
         int status = run(args);
         if (status != 0) {
@@ -67,31 +70,32 @@
     }
 
     /**
-     * Only the one that is named, or all: a node that starts need not load what measures and checks others.
+     * Creates the command of this name, or all commands if there is none. A starting node thus does not load the
+     * classes of the other commands.
      */
-    private static Map<String, Command> commands(String first) {
-        Map<String, Supplier<Command>> known = new LinkedHashMap<>();
-        known.put("serve", Serve::new);
-        known.put("wirehost", WireHost::new);
-        known.put("import", Import::new);
-        known.put("check-config", CheckConfig::new);
-        known.put("schema", Schema::new);
-        known.put("conformance", Conformance::new);
-        known.put("load-gearman", LoadGearman::new);
-        known.put("load-library", LoadLibrary::new);
-        known.put("fleet-model", FleetModel::new);
-        known.put("measure-lists", MeasureLists::new);
-        known.put("version", Version::new);
+    private static Map<String, Command> commands(String requested) {
+        Map<String, Supplier<Command>> factories = new LinkedHashMap<>();
+        factories.put("serve", Serve::new);
+        factories.put("wirehost", WireHost::new);
+        factories.put("import", Import::new);
+        factories.put("check-config", CheckConfig::new);
+        factories.put("schema", Schema::new);
+        factories.put("conformance", Conformance::new);
+        factories.put("load-gearman", LoadGearman::new);
+        factories.put("load-library", LoadLibrary::new);
+        factories.put("fleet-model", FleetModel::new);
+        factories.put("measure-lists", MeasureLists::new);
+        factories.put("version", Version::new);
         Map<String, Command> commands = new LinkedHashMap<>();
-        known.forEach((name, make) -> {
-            if (!known.containsKey(first) || name.equals(first)) {
-                commands.put(name, make.get());
+        factories.forEach((name, factory) -> {
+            if (!factories.containsKey(requested) || name.equals(requested)) {
+                commands.put(name, factory.get());
             }
         });
         return commands;
     }
 
-    /** Carries out a command line; the process's exit status. */
+    /** Runs a command line and returns the exit status of the process. */
     static int run(String... args) {
         Map<String, Command> commands = commands(args.length > 0 ? args[0] : "");
         Main main = new Main();
--- a/src/main/java/beechseam/cli/Schema.java
+++ b/src/main/java/beechseam/cli/Schema.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** Prints the JSON Schema of an operator's file, made of what the program asks of it. */
+/** Prints the JSON Schema of the operator's file, generated from the keys that the program reads. */
 @Parameters(commandDescription = "Print the JSON Schema of the operator's file for Gearman")
 final class Schema extends Main.Command {
     @Override
--- a/src/main/java/beechseam/cli/Serve.java
+++ b/src/main/java/beechseam/cli/Serve.java
@@ -16,22 +16,22 @@
 import java.util.Map;
 
 /** Runs a node until SIGTERM. */
-@Parameters(commandDescription = "Run a node; the platform tells it how by PROXY_CONFIG and its companions")
+@Parameters(commandDescription = "Run a node; the platform configures it by PROXY_CONFIG and other PROXY_ variables")
 final class Serve extends Main.Command {
     private static final Logger LOG = System.getLogger(Serve.class.getName());
-    /** Held while a configuration is read. */
-    private static final Object RELOADING = new Object();
+    /** Lock that serializes reloads of the configuration. */
+    private static final Object RELOAD_LOCK = new Object();
 
-    @Parameter(names = "--config", description = "The node's configuration, in place of PROXY_CONFIG")
+    @Parameter(names = "--config", description = "The node's configuration file, instead of the one in PROXY_CONFIG")
     private String config;
 
-    @Parameter(names = "--gearman", description = "An operator's file: serve Gearman's protocol by it")
+    @Parameter(names = "--gearman", description = "The operator's file; starts a Gearman server with it")
     private String gearman;
 
-    @Parameter(names = "--log-format", description = "text or json, on standard error")
+    @Parameter(names = "--log-format", description = "Format of the log on standard error: text or json")
     private Logging.Format logFormat = Logging.Format.TEXT;
 
-    @Parameter(names = "--log-level", description = "trace, debug, info, warning, error or off")
+    @Parameter(names = "--log-level", description = "Lowest logged level: trace, debug, info, warning, error or off")
     private Logging.Threshold logLevel = Logging.Threshold.INFO;
 
     @Override
@@ -41,11 +41,11 @@
         if (config != null) {
             environment.put("PROXY_CONFIG", config);
         }
-        boolean platformWanted = isPlatformWanted(environment);
-        NodeConfig nodeConfig = platformWanted ? NodeConfig.of(environment) : null;
-        GearmanConfig gearmanConfig = gearmanConfig(platformWanted);
+        boolean platformConfigured = isPlatformConfigured(environment);
+        NodeConfig nodeConfig = platformConfigured ? NodeConfig.of(environment) : null;
+        GearmanConfig gearmanConfig = gearmanConfig(platformConfigured);
         EventLoop loop = new EventLoop();
-        PlatformNode[] reloaded = {null}; // SIGHUP may come before the node is built
+        PlatformNode[] reloaded = {null}; // SIGHUP may arrive before the node is created
         Signals.onSignal("HUP", () -> reload(loop, reloaded, environment));
         PlatformNode platform = nodeConfig == null ? null : new PlatformNode(loop, nodeConfig);
         reloaded[0] = platform;
@@ -59,33 +59,36 @@
         if (jobServer != null) {
             jobServer.onShutDown(stop);
             if (gearman == null) {
-                greet(jobServer.address());
+                printFirstSteps(jobServer.address());
             }
         }
         Signals.onSignal("TERM", () -> loop.post(stop));
         Signals.onSignal("INT", () -> loop.post(stop));
         loop.run();
-        printFigures(platform, jobServer);
+        printCounters(platform, jobServer);
         return 0;
     }
 
-    /** Without an operator's file any variable of the platform's asks for a node, beside one only its configuration. */
-    private boolean isPlatformWanted(Map<String, String> environment) {
+    /**
+     * Whether a platform node is configured. Without an operator's file any PROXY_ variable configures one; with an
+     * operator's file only PROXY_CONFIG does.
+     */
+    private boolean isPlatformConfigured(Map<String, String> environment) {
         if (gearman != null) {
             return environment.containsKey("PROXY_CONFIG");
         }
         return environment.keySet().stream().anyMatch(key -> key.startsWith("PROXY_"));
     }
 
-    /** The job server's configuration, or null where there is to be none. */
-    private GearmanConfig gearmanConfig(boolean platformWanted) throws ConfigException {
+    /** The job server's configuration, or null if none is started. */
+    private GearmanConfig gearmanConfig(boolean platformConfigured) throws ConfigException {
         if (gearman != null) {
             return GearmanConfig.read(gearman);
         }
-        return platformWanted ? null : GearmanConfig.usual();
+        return platformConfigured ? null : GearmanConfig.usual();
     }
 
-    /** Stops both front ends; the loop ends when the last of them has ended. */
+    /** Returns an action that stops both front ends; the loop ends when the last of them has stopped. */
     private static Runnable stopAll(EventLoop loop, PlatformNode platform, GearmanServer jobServer) {
         int[] running = {(platform == null ? 0 : 1) + (jobServer == null ? 0 : 1)};
         Runnable stopped = () -> {
@@ -103,7 +106,7 @@
         };
     }
 
-    private static void printFigures(PlatformNode platform, GearmanServer jobServer) {
+    private static void printCounters(PlatformNode platform, GearmanServer jobServer) {
         if (platform != null) {
             System.out.println(platform.counters());
         }
@@ -113,8 +116,8 @@
         System.out.flush();
     }
 
-    /** For who starts it for the first time. */
-    private static void greet(InetSocketAddress at) {
+    /** Prints how to try out the server, for a first start without an operator's file. */
+    private static void printFirstSteps(InetSocketAddress at) {
         String host = at.getAddress().getHostAddress();
         System.out.println("A Gearman job server listens on " + host + ":" + at.getPort()
                 + ". Any function, jobs in memory; Ctrl-C ends it.\n"
@@ -126,14 +129,14 @@
     }
 
     /**
-     * On the signal's thread: a long file takes its time, for which the loop must not stand still. One at a
-     * time, so that of signals in quick handover the file as read last counts last. A configuration that
-     * cannot be used leaves the node as it was.
+     * Reads the configuration again, on the signal's thread, since reading a long file must not block the event
+     * loop. Reloads are serialized, so that after several signals in quick succession the configuration read last
+     * is also applied last. If the configuration is invalid, the node keeps its current one.
      *
-     * @param platform holds the node once there is one, which the loop's tasks see
+     * @param platform holds the node once it has been created; only tasks of the loop read it
      */
     private static void reload(EventLoop loop, PlatformNode[] platform, Map<String, String> environment) {
-        synchronized (RELOADING) {
+        synchronized (RELOAD_LOCK) {
             try {
                 NodeConfig next = NodeConfig.reload(environment);
                 loop.post(() -> reload(platform[0], () -> platform[0].reload(next)));
--- a/src/main/java/beechseam/cli/Signals.java
+++ b/src/main/java/beechseam/cli/Signals.java
@@ -6,9 +6,9 @@
 import sun.misc.SignalHandler;
 
 /**
- * Signals of the operating system. Left alone the runtime ends on these signals. On SIGHUP operators want the
- * configuration read again; on SIGTERM the runtime's shutdown hooks would run beside the event loop, and the one
- * that ends all logging at once.
+ * Handlers of operating system signals. By default the JVM exits on these signals. SIGHUP reloads the configuration
+ * instead. On SIGTERM the JVM would run its shutdown hooks concurrently with the event loop, among them the hook that
+ * ends all logging at once.
  */
 final class Signals {
     private static final Logger LOG = System.getLogger(Signals.class.getName());
@@ -16,8 +16,8 @@
     private Signals() {}
 
     /**
-     * Runs the action on the signal's thread whenever the signal comes. One that was ignored before the start, as
-     * under nohup, the runtime leaves ignored whatever it is told; that is logged.
+     * Runs the action on the signal's thread whenever the signal arrives. The JVM keeps ignoring a signal that was
+     * ignored before its start, as under nohup, even if a handler is set; this is logged.
      */
     static void onSignal(String name, Runnable action) {
         try {
@@ -25,7 +25,7 @@
             if (previous == SignalHandler.SIG_IGN) {
                 LOG.log(Level.WARNING, "signal ignored name=SIG" + name + " reason=ignored before the start");
             }
-        } catch (IllegalArgumentException e) { // the system has none, or the runtime leaves it alone
+        } catch (IllegalArgumentException e) { // the system has no such signal, or the JVM reserves it
             LOG.log(Level.WARNING, "signal not handled name=SIG" + name + " reason=" + e.getMessage());
         }
     }
--- a/src/main/java/beechseam/cli/package-info.java
+++ b/src/main/java/beechseam/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The command line: one class a command, which reads its arguments and starts what the other packages hold.
+ * The command line: one class per command, which parses its arguments and runs code of the other packages.
  */
 package beechseam.cli;
--- a/src/test/java/beechseam/cli/MainTest.java
+++ b/src/test/java/beechseam/cli/MainTest.java
@@ -16,8 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the commands: their output, their error messages, and a server in a process of its own. */
 class MainTest {
-    private static String said(int status, String... args) {
+    /** Runs a command line, checks its exit status and returns what it prints on both output streams. */
+    private static String outputOf(int status, String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -34,22 +36,23 @@
     }
 
     @Test
-    void subCommandsSayWhatTheyDoOrWhatIsWrong(@TempDir Path dir) throws Exception {
-        assertTrue(said(0, "version").startsWith("beechseam "));
-        assertTrue(said(0, "--help").contains("wirehost"));
-        assertTrue(said(2).contains("serve"));
-        assertTrue(said(2, "dance").contains("dance"));
-        assertTrue(said(0, "check-config", "--gearman", "deploy/gearman.json").startsWith("good: perth"));
+    void subcommandsPrintResultsOrErrors(@TempDir Path dir) throws Exception {
+        assertTrue(outputOf(0, "version").startsWith("beechseam "));
+        assertTrue(outputOf(0, "--help").contains("wirehost"));
+        assertTrue(outputOf(2).contains("serve"));
+        assertTrue(outputOf(2, "dance").contains("dance"));
+        assertTrue(
+                outputOf(0, "check-config", "--gearman", "deploy/gearman.json").startsWith("good: perth"));
         Path bad = Files.writeString(dir.resolve("bad.json"), "{\"functions\":[{}]}");
-        assertTrue(said(2, "check-config", "--gearman", bad.toString()).contains("functions[0].name: is "));
+        assertTrue(outputOf(2, "check-config", "--gearman", bad.toString()).contains("functions[0].name: is "));
         Path jk = Files.writeString(dir.resolve("w.properties"), "worker.list=a\nworker.a.host=10.0.0.1\n");
-        assertTrue(said(0, "import", jk.toString()).contains("\"addr\" : \"10.0.0.1:8009\""));
-        assertTrue(said(2, "import", bad.toString()).contains("neither"));
+        assertTrue(outputOf(0, "import", jk.toString()).contains("\"addr\" : \"10.0.0.1:8009\""));
+        assertTrue(outputOf(2, "import", bad.toString()).contains("neither"));
     }
 
-    /** A configuration may know as many servers as a list of discovery; one named twice is a fault. */
+    /** A configuration may list as many servers as discovery does; a server that is listed twice is an error. */
     @Test
-    void aConfigurationMayKnowThousandsOfServers(@TempDir Path dir) throws Exception {
+    void configurationMayListThousandsOfServers(@TempDir Path dir) throws Exception {
         StringBuilder rows = new StringBuilder();
         for (int i = 1; i <= 4096; i++) {
             rows.append(i == 1 ? "" : ",")
@@ -61,37 +64,38 @@
                 + "\"full\":true,\"servers\":[" + rows + "]},\"settings\":{\"Classes\":[{\"Name\":\"c\","
                 + "\"AimNs\":5}],\"Limits\":{\"MaxAttempts\":3}}}";
         Path good = Files.writeString(dir.resolve("good.json"), text);
-        assertTrue(said(0, "check-config", "--config", good.toString()).startsWith("good: node"));
+        assertTrue(outputOf(0, "check-config", "--config", good.toString()).startsWith("good: node"));
         Path twice = Files.writeString(dir.resolve("twice.json"), text.replace("\"s-1000\"", "\"s-1\""));
-        assertTrue(said(2, "check-config", "--config", twice.toString())
+        assertTrue(outputOf(2, "check-config", "--config", twice.toString())
                 .contains("known.servers: must name a server once, and names s-1 twice"));
     }
 
     @Test
-    void theToolsSayWhatIsWrongAndWhatTheyTake(@TempDir Path dir) throws Exception {
+    void toolsPrintHelpAndArgumentErrors(@TempDir Path dir) throws Exception {
         for (String each : List.of("serve", "import", "check-config", "schema", "conformance", "load-gearman")) {
-            assertTrue(said(0, each, "--help").contains("--help"), each);
+            assertTrue(outputOf(0, each, "--help").contains("--help"), each);
         }
         assertEquals(
-                3, said(0, "measure-lists", "5", "50", "--lists", "2").lines().count());
-        assertTrue(said(2, "measure-lists", "0").contains("SERVERS: must be from 1 to "));
-        assertTrue(said(2, "conformance", "192.0.2.1:4730").contains("no loopback address"));
-        assertTrue(said(2, "conformance", "127.0.0.1").contains("HOST:PORT: must be"));
+                3,
+                outputOf(0, "measure-lists", "5", "50", "--lists", "2").lines().count());
+        assertTrue(outputOf(2, "measure-lists", "0").contains("SERVERS: must be from 1 to "));
+        assertTrue(outputOf(2, "conformance", "192.0.2.1:4730").contains("is not a loopback address"));
+        assertTrue(outputOf(2, "conformance", "127.0.0.1").contains("HOST:PORT: must be"));
+        assertTrue(outputOf(2, "conformance", "127.0.0.1:1", "--only", "no such case")
+                .contains("no case matches 'no such case'"));
         assertTrue(
-                said(2, "conformance", "127.0.0.1:1", "--only", "no such case").contains("no case has"));
-        assertTrue(said(0, "conformance", "x", "--list", "--only", "^basics").contains("basics/an empty echo"));
-        Path odd = Files.writeString(dir.resolve("odd.txt"), "case \"a\" {\n a: sing }");
-        assertTrue(said(2, "conformance", "127.0.0.1:1", "--script", odd.toString())
+                outputOf(0, "conformance", "x", "--list", "--only", "^basics").contains("basics/an empty echo"));
+        Path invalidScript = Files.writeString(dir.resolve("odd.txt"), "case \"a\" {\n a: sing }");
+        assertTrue(outputOf(2, "conformance", "127.0.0.1:1", "--script", invalidScript.toString())
                 .contains("odd.txt:2:5: "));
-        assertTrue(said(2, "load-gearman", "fair", "--seconds", "0").contains("--seconds"));
-        Path stoer = Files.writeString(dir.resolve("s.json"), "{\"functions\":\"*\",\"max_job\":1}");
-        assertTrue(said(2, "check-config", "--gearman", stoer.toString())
+        assertTrue(outputOf(2, "load-gearman", "fair", "--seconds", "0").contains("--seconds"));
+        Path unknownKey = Files.writeString(dir.resolve("s.json"), "{\"functions\":\"*\",\"max_job\":1}");
+        assertTrue(outputOf(2, "check-config", "--gearman", unknownKey.toString())
                 .contains("s.json: max_job: is not known here; did you mean max_jobs?"));
-        assertTrue(said(0, "schema").contains("\"max_jobs\""));
+        assertTrue(outputOf(0, "schema").contains("\"max_jobs\""));
     }
 
-    /** Started by no file at all, with JSON for a log: each line of it is a record,
-     * and it says how to go on. */
+    /** Without any file and with a JSON log, the server prints its first steps, and each log line is a record. */
     @Test
     void serveNeedsNoFile(@TempDir Path dir) throws Exception {
         Path log = dir.resolve("log");
@@ -105,18 +109,18 @@
                 "--log-format",
                 "json");
         builder.environment().keySet().removeIf(key -> key.startsWith("PROXY_"));
-        Process serving =
+        Process server =
                 builder.redirectError(log.toFile()).redirectOutput(out.toFile()).start();
         try {
-            for (int i = 0; i < 400 && serving.isAlive() && Files.size(out) == 0; i++) {
+            for (int i = 0; i < 400 && server.isAlive() && Files.size(out) == 0; i++) {
                 Thread.sleep(50);
             }
-            String said = Files.readString(out);
-            if (serving.isAlive()) { // else somebody else has the well-known port, which it must say
-                assertTrue(said.startsWith("A Gearman job server listens on 127.0.0.1:4730"), said);
-                assertTrue(said.contains("gearman -h 127.0.0.1 -p 4730 -f shout"), said);
-                serving.toHandle().destroy();
-                assertTrue(serving.waitFor(60, TimeUnit.SECONDS));
+            String output = Files.readString(out);
+            if (server.isAlive()) { // otherwise another process has the well-known port, and the error says so
+                assertTrue(output.startsWith("A Gearman job server listens on 127.0.0.1:4730"), output);
+                assertTrue(output.contains("gearman -h 127.0.0.1 -p 4730 -f shout"), output);
+                server.toHandle().destroy();
+                assertTrue(server.waitFor(60, TimeUnit.SECONDS));
                 List<String> records = Files.readAllLines(log);
                 assertFalse(records.isEmpty());
                 for (String each : records) {
@@ -130,31 +134,34 @@
                 assertTrue(Files.readString(log).contains("beechseam: "), Files.readString(log));
             }
         } finally {
-            serving.destroyForcibly();
+            server.destroyForcibly();
         }
     }
 
-    /** The build makes the archive of classes by this list; what it names in vain is loaded slowly again. */
+    /**
+     * The build makes the class data archive from this list. A class that is listed under an old name is missing
+     * from the archive, so that loading it slows down the start.
+     */
     @Test
-    void theListOfClassesToArchiveNamesOurClassesAsTheyAre() throws Exception {
-        int ours = 0;
+    void classesInArchiveListExist() throws Exception {
+        int ownClasses = 0;
         for (String line : Files.readAllLines(Path.of("deploy", "classes.lst"))) {
             if (line.startsWith("beechseam/")) {
                 Class.forName(line.replace('/', '.'), false, MainTest.class.getClassLoader());
-                ours++;
+                ownClasses++;
             }
         }
-        assertTrue(ours > 50, "the node's own classes: " + ours);
+        assertTrue(ownClasses > 50, "number of the program's own classes: " + ownClasses);
         String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
         assertEquals(
                 2,
                 deploy.split("SharedArchiveFile=target/beechseam.jsa", -1).length - 1,
-                "the build writes what the run reads");
+                "the build writes the archive that the run reads");
     }
 
-    /** The whole program as it is started: it serves until SIGTERM, then prints its counters. */
+    /** Runs the program in a process of its own: it serves until SIGTERM, then prints its counters. */
     @Test
-    void serveRunsUntilItIsToldToStop(@TempDir Path dir) throws Exception {
+    void serveRunsUntilSigterm(@TempDir Path dir) throws Exception {
         int port;
         try (Loopback net = new Loopback()) {
             port = net.listen(new java.util.ArrayList<>()).getPort();
@@ -171,18 +178,18 @@
                 "--gearman",
                 file.toString());
         builder.environment().keySet().removeIf(key -> key.startsWith("PROXY_"));
-        Process serving = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        Process server = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
         try (Loopback net = new Loopback()) {
             Loopback.Peer[] admin = {null};
             net.until("an answer", () -> {
-                if (admin[0] == null || admin[0].disconnected) { // not up yet
+                if (admin[0] == null || admin[0].disconnected) { // the server does not listen yet
                     admin[0] = net.connect(new InetSocketAddress("127.0.0.1", port))
                             .send("version\n");
                 }
                 return admin[0].receivedText().startsWith("OK ");
             });
-            // SIGHUP asks for a reload; without its handler the runtime would end here.
-            String pid = Long.toString(serving.pid());
+            // SIGHUP requests a reload; without a handler the JVM would exit here.
+            String pid = Long.toString(server.pid());
             assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
             admin[0].take();
             admin[0].send("version\n");
@@ -190,13 +197,13 @@
             Loopback.Peer later =
                     net.connect(new InetSocketAddress("127.0.0.1", port)).send("version\n");
             net.until("a later answer", () -> later.receivedText().startsWith("OK "));
-            serving.toHandle().destroy(); // SIGTERM, and the output stays open
-            String out = new String(serving.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(serving.waitFor(60, TimeUnit.SECONDS));
-            assertEquals(0, serving.exitValue(), "an end that was asked for is no fault");
+            server.toHandle().destroy(); // sends SIGTERM and keeps the output open
+            String out = new String(server.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(server.waitFor(60, TimeUnit.SECONDS));
+            assertEquals(0, server.exitValue(), "a requested shutdown is not a failure");
             assertTrue(out.startsWith("{\"accepted\":0,\"alive\":0,"), out);
         } finally {
-            serving.destroyForcibly();
+            server.destroyForcibly();
         }
     }
 }
