--- a/src/main/java/beechseam/fleet/membership/Awareness.java
+++ b/src/main/java/beechseam/fleet/membership/Awareness.java
@@ -1,8 +1,8 @@
 package beechseam.fleet.membership;
 
 /**
- * Lifeguard's local health: a score that rises with each sign that this member itself is slow or cut off, and scales
- * the time-outs it grants to others, so that a degraded member accuses fewer healthy ones.
+ * Lifeguard's local health score. It rises with each sign that this member itself is slow or isolated, and scales the
+ * time-outs that this member applies to others, so that a degraded member accuses fewer healthy ones.
  */
 final class Awareness {
     private static final int MAX_SCORE = 8;
@@ -14,17 +14,17 @@
         this.enabled = enabled;
     }
 
-    /** 0 for healthy, at most 8. */
+    /** The local health score, from 0 (healthy) to 8. */
     int score() {
         return score;
     }
 
-    /** Raises the score, or lowers it where {@code delta} is negative, within its bounds. */
+    /** Adds {@code delta}, which may be negative, to the score and keeps the score within its bounds. */
     void adjust(int delta) {
         score = Math.max(0, Math.min(MAX_SCORE, score + delta));
     }
 
-    /** The time-out times the local health multiplier, 1 to 9; unscaled where local health is off. */
+    /** Multiplies the time-out by the local health multiplier, 1 to 9; returns it unscaled if local health is off. */
     long scale(long timeoutNs) {
         return enabled ? timeoutNs * (1 + score) : timeoutNs;
     }
--- a/src/main/java/beechseam/fleet/membership/Dissemination.java
+++ b/src/main/java/beechseam/fleet/membership/Dissemination.java
@@ -3,17 +3,19 @@
 import java.util.List;
 
 /**
- * Spreads gossip updates: piggybacked on every message, and by {@link Message.Gossip} to a few random members in each
- * gossip interval while updates wait. An update reaches all in a number of intervals that grows with the logarithm
- * of the fleet's size, as does the retransmit limit.
+ * Disseminates gossip updates: piggybacked on other messages, and by {@link Message.Gossip} to a few random members
+ * in each gossip interval while updates are queued. The number of intervals until an update reaches all members grows
+ * with the logarithm of the fleet's size, and so does the retransmit limit.
  */
 final class Dissemination {
-    /** Soft limit of the updates in one message, in bytes; the last one may exceed it. */
+    /** Soft limit on the size of the updates in one message, in bytes; the last update may exceed it. */
     private static final int MAX_UPDATE_BYTES = 1200;
-    /** The retransmit limit is this times the decimal logarithm of the fleet's size, rounded up. */
+    /** Factor of the retransmit limit: multiplied by the decimal logarithm of the fleet's size, rounded up. */
     private static final int RETRANSMIT_MULTIPLIER = 4;
 
+    /** Number of members that receive a gossip message in each gossip interval. */
     private static final int FANOUT = 3;
+
     private static final int GOSSIPS_PER_PROBE_INTERVAL = 5;
 
     private final LocalNode local;
@@ -43,7 +45,7 @@
         enqueue(local.entry, self);
     }
 
-    /** Announces within one probe interval that this process leaves. */
+    /** Announces repeatedly during one probe interval that this process leaves. */
     void announceLeave() {
         enqueue(local.entry, local.self());
         for (int i = 0; i < GOSSIPS_PER_PROBE_INTERVAL; i++) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /** The updates to piggyback on the next message, a list that the caller may change. */
+    /** The updates to piggyback on the next message, in a list that the caller may modify. */
     List<Member> nextUpdates() {
         int retransmitLimit = (int) (RETRANSMIT_MULTIPLIER
                 * Math.ceil(Math.log10(members.upMembers().size() + 2)));
@@ -78,7 +80,7 @@
             }
         }
         if (members.upMembers().isEmpty()) {
-            queue.clear(); // a member that joins later gets the full state
+            queue.clear(); // a member that joins later receives the full state
         }
     }
 }
--- a/src/main/java/beechseam/fleet/membership/FailureDetector.java
+++ b/src/main/java/beechseam/fleet/membership/FailureDetector.java
@@ -12,9 +12,10 @@
 import java.util.Set;
 
 /**
- * SWIM's failure detector: probes one member in each probe interval, first by a direct ping, then by indirect pings
- * through a few others, and suspects it where no ack arrives. The cost for each member is constant, whatever the
- * fleet's size. Nacks of the helpers tell a dead target from a slow or isolated prober (Lifeguard).
+ * SWIM's failure detector. It probes one member in each probe interval, first by a direct ping, then by indirect pings
+ * through a few other members (helpers), and suspects the target if no ack arrives. The cost for each member is
+ * constant, whatever the size of the fleet. A nack from a helper shows that this member can still communicate, and so
+ * distinguishes a dead target from a slow or isolated prober (Lifeguard).
  */
 final class FailureDetector {
     /** A helper sends a nack after this fraction of the probe time-out. */
@@ -23,7 +24,7 @@
     /** The probe of the current interval. */
     private static final class Probe {
         final MemberEntry target;
-        /** The target as it was when the probe was sent. */
+        /** The claim about the target that was current when the probe was sent. */
         final Member member;
 
         long sequence;
@@ -41,12 +42,14 @@
     private final MemberTable members;
     private final Dissemination dissemination;
     private final MemberUpdates updates;
-    /** What to do on the ack of each ping that is out, by its sequence number. */
+    /** The action to run on the ack of each outstanding ping, by sequence number. */
     private final Map<Long, Runnable> ackHandlers = new HashMap<>();
 
+    /** Keys of the outstanding verifications, see {@link #verifyHolder}. */
     private final Set<String> verifications = new HashSet<>();
+
     private long lastSequence;
-    /** The probe that is out; null where there is none or a pause of this process has made it void. */
+    /** The outstanding probe; null if there is none or if a pause of this process invalidated it. */
     private Probe current;
 
     FailureDetector(LocalNode local, MemberTable members, Dissemination dissemination, MemberUpdates updates) {
@@ -56,7 +59,7 @@
         this.updates = updates;
     }
 
-    /** Begins to probe, at a random time within one probe interval. */
+    /** Starts probing, after a random delay of at most one probe interval. */
     void start() {
         local.timers.after((long) (local.random.nextDouble() * local.options.probeIntervalNs()), this::probeNext);
     }
@@ -76,7 +79,7 @@
         probe.sequence = expectAck(() -> probe.acked = true);
         current = probe;
         Member member = probe.member;
-        // A suspect gets the claim with the ping, so that it can refute with the ack.
+        // The ping to a suspect carries the suspicion, so that the suspect can refute it with its ack.
         List<Member> piggybacked = dissemination.nextUpdates();
         if (member.status() == MemberStatus.SUSPECT && !piggybacked.contains(member)) {
             piggybacked.add(0, member);
@@ -107,7 +110,7 @@
     private void finish(Probe probe) {
         ackHandlers.remove(probe.sequence);
         if (current != probe) {
-            return; // void: this process was paused meanwhile
+            return; // invalidated: this process was paused in the meantime
         }
         current = null;
         if (probe.acked) {
@@ -115,27 +118,28 @@
             return;
         }
         local.counters.failedProbes++;
-        // A helper that sent neither ack nor nack points to this member; without helpers it cannot tell.
+        // A missing nack suggests that this member itself is degraded. Without helpers there is no such evidence,
+        // and the score rises by one.
         local.awareness.adjust(probe.indirectPings > 0 ? probe.indirectPings - probe.nacks : 1);
         if (probe.target.member.sameProcess(probe.member)) {
             updates.suspect(probe.target);
         }
     }
 
-    /** Answers a ping, if it is meant for this process. */
+    /** Answers a ping if it is addressed to this process. */
     void onPing(String name, String address, Ping ping) {
         if (!ping.target().equals(local.self().name()) || local.phase() == MembershipPhase.JOINING) {
             return;
         }
         if (ping.processId() != 0 && ping.processId() != local.self().processId()) {
-            // Meant for an earlier process of this name: its successor makes itself known.
+            // The ping is addressed to an earlier process of this name: reply with the current process's claim.
             local.host.send(name, address, new Gossip(List.of(local.self())));
             return;
         }
         local.host.send(name, address, new Ack(ping.sequence(), dissemination.nextUpdates()));
     }
 
-    /** Pings on another member's behalf. A late ack is still forwarded after the nack. */
+    /** Pings the target on another member's behalf. An ack that arrives after the nack was sent is still forwarded. */
     void onPingRequest(String name, String address, PingRequest request) {
         long sequence = expectAck(
                 () -> local.host.send(name, address, new Ack(request.sequence(), dissemination.nextUpdates())));
@@ -151,7 +155,7 @@
         local.timers.after(2 * local.options.probeIntervalNs(), () -> ackHandlers.remove(sequence));
     }
 
-    /** Completes the ping of this sequence number; without effect where none is out. */
+    /** Completes the ping with this sequence number. Has no effect if no such ping is outstanding. */
     void onAck(long sequence) {
         Runnable handler = ackHandlers.remove(sequence);
         if (handler != null) {
@@ -167,9 +171,12 @@
     }
 
     /**
-     * Pings the holder of a name beside the probe rounds and calls one of the two.
+     * Pings the holder of a name, independently of the regular probes, and runs one of the two callbacks.
      *
-     * @param key identifies the verification: while one of this key is out, another call has no effect
+     * @param key      identifies the verification; a call has no effect while one with the same key is outstanding
+     * @param holder   the claim about the process to ping
+     * @param onAlive  runs if the holder acknowledges
+     * @param onSilent runs if it does not acknowledge within twice the scaled probe time-out
      */
     void verifyHolder(String key, Member holder, Runnable onAlive, Runnable onSilent) {
         if (!verifications.add(key)) {
@@ -189,8 +196,9 @@
     }
 
     /**
-     * This process was paused for {@code stallNs} until {@code atNs}: what it did not receive meanwhile says nothing
-     * about others. The probe that is out is void, and each suspect gets the lost time back.
+     * Handles a pause of this process that lasted {@code stallNs} and ended at {@code atNs}. Messages missed during
+     * the pause are no evidence about other members, so the outstanding probe is invalidated and every suspicion is
+     * extended by the length of the pause.
      */
     void onStall(long atNs, long stallNs) {
         local.counters.stalls++;
--- a/src/main/java/beechseam/fleet/membership/JoinProtocol.java
+++ b/src/main/java/beechseam/fleet/membership/JoinProtocol.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Joining, from both sides: contacts the seeds until one accepts, and decides on the joins of others. A name is given
- * to a new process only once its last holder is down or does not answer.
+ * Both sides of joining: contacts the seeds until one accepts this process, and accepts or rejects the joins of other
+ * processes. A new process may take a name only if the previous holder is down or does not answer.
  */
 final class JoinProtocol {
-    /** A process that no seed has answered becomes a fleet of its own after so many attempts. */
+    /** Number of attempts without an answer from any seed, after which a process forms a fleet of its own. */
     private static final int MAX_ATTEMPTS = 4;
 
     private final LocalNode local;
@@ -33,10 +33,10 @@
         this.stateExchanger = stateExchanger;
     }
 
-    /** Begins to join, or becomes a member at once where there are no other seeds. */
+    /** Starts to join, or becomes a member immediately if there are no other seeds. */
     void start() {
         if (local.otherSeeds().isEmpty()) {
-            becomeMember("alone: no other seeds configured");
+            becomeMember("formed a new fleet: no other seeds are configured");
         } else {
             contactSeeds();
         }
@@ -47,7 +47,7 @@
             return;
         }
         if (attempts >= MAX_ATTEMPTS) {
-            becomeMember("alone: no seed answered");
+            becomeMember("formed a new fleet: no seed answered");
             return;
         }
         attempts++;
@@ -65,21 +65,21 @@
         stateExchanger.start();
     }
 
-    /** A member has accepted this process; {@code sender} is its name or address. */
+    /** Handles the acceptance by a member; {@code sender} is its name or address. */
     void onAccepted(String sender) {
         if (local.phase() == MembershipPhase.JOINING) {
             becomeMember("accepted by " + sender);
         }
     }
 
-    /** A member has rejected this process. */
+    /** Handles the rejection by a member. */
     void onRejected(String reason) {
         if (local.phase() == MembershipPhase.JOINING) {
             local.reject(reason);
         }
     }
 
-    /** A process asks to join. */
+    /** Accepts another process's join, or rejects it if a third process that answers, or this one, holds the name. */
     void onJoin(Member joiner) {
         Member holder = members.find(joiner.name());
         boolean nameAvailable = holder == null
@@ -104,7 +104,7 @@
         local.send(joiner, new JoinRejected(nameTakenReason(holder), List.of()));
     }
 
-    /** Text for operators: the name is held by a process that answers. */
+    /** The reason of a rejection, for operators: the holder of the name is alive. */
     static String nameTakenReason(Member holder) {
         return "the name " + holder.name() + " is taken: the process at " + holder.address() + " answers to it";
     }
--- a/src/main/java/beechseam/fleet/membership/LocalNode.java
+++ b/src/main/java/beechseam/fleet/membership/LocalNode.java
@@ -3,17 +3,20 @@
 import java.util.List;
 import java.util.Random;
 
-/** What the parts of one {@link Membership} share: this process as a member, its settings, clock, draws and host. */
+/**
+ * State shared by the components of one {@link Membership}: this process as a member, its settings, timers, random
+ * generator and host.
+ */
 final class LocalNode {
     final MembershipOptions options;
     final MembershipHost host;
-    /** One generator for all parts: the order of draws decides what happens. */
+    /** One generator for all components: a run is reproducible only if they draw from it in the same order. */
     final Random random;
 
     final Timers timers;
     final MembershipCounters counters = new MembershipCounters();
     final Awareness awareness;
-    /** Carries the gossip update about this process itself. */
+    /** Holds the queued gossip update about this process itself. */
     final MemberEntry entry = new MemberEntry();
 
     private final long startedNs;
@@ -51,7 +54,7 @@
         return phase == MembershipPhase.MEMBER;
     }
 
-    /** When this process began, in nanoseconds. */
+    /** When this membership was created, in nanoseconds. */
     long startedNs() {
         return startedNs;
     }
@@ -60,7 +63,7 @@
         return viewVersion;
     }
 
-    /** Counts a change of the view and reports it to the host. */
+    /** Raises the view version and reports the change to the host. */
     void reportChange(Member before, Member after, String reason) {
         viewVersion++;
         host.memberChanged(before, after, reason);
@@ -70,19 +73,19 @@
         host.send(receiver.name(), receiver.address(), message);
     }
 
-    /** The configured seeds without this process's own address. */
+    /** The configured seeds, except this process's own address. */
     List<String> otherSeeds() {
         return options.seeds().stream()
                 .filter(seed -> !seed.equals(self.address()))
                 .toList();
     }
 
-    /** A random time between three and five quarters of the interval, in its unit. */
+    /** A random duration between 75 % and 125 % of the interval, in the same unit. */
     long jittered(long interval) {
         return (long) (interval * (0.75 + random.nextDouble() / 2));
     }
 
-    /** Ends this process's membership: another process holds its name. */
+    /** Ends this process's membership because another process holds its name. */
     void reject(String reason) {
         phase = MembershipPhase.REJECTED;
         timers.clear();
--- a/src/main/java/beechseam/fleet/membership/Member.java
+++ b/src/main/java/beechseam/fleet/membership/Member.java
@@ -3,18 +3,19 @@
 import java.util.Map;
 
 /**
- * What is claimed of one member: immutable, so that a gossip update is passed on as it was received. Of two claims
- * about one name {@link #supersedes} tells which holds.
+ * A claim about one member: its identity, status and attributes. Claims are immutable, so that a gossip update is
+ * passed on as it was received. {@link #supersedes} decides which of two claims about the same name is kept.
  *
- * @param name        of the member, the same over its restarts
- * @param address     where its link listens, {@code host:port}
- * @param epoch       number of the process under this name, from 1; a restart takes the next
- * @param processId   drawn at random by the process at its start: tells apart two that claim one epoch
- * @param incarnation raised by the member alone, to refute what others claim of this process
- * @param status      what is claimed
- * @param accuser     name of the member that first reported no answer; empty for {@link MemberStatus#ALIVE} and
+ * @param name        name of the member, the same across restarts
+ * @param address     address on which the member listens, {@code host:port}
+ * @param epoch       number of the process under this name, from 1; each restart takes the next number
+ * @param processId   random number drawn by the process at its start, which distinguishes two processes that claim
+ *                    the same epoch
+ * @param incarnation version that only the member itself raises, to refute claims of others about this process
+ * @param status      the claimed status
+ * @param accuser     name of the member that reported a failed probe; empty for {@link MemberStatus#ALIVE} and
  *                    {@link MemberStatus#LEFT}
- * @param tags        zone, roles and other attributes; small, since each update carries them
+ * @param tags        zone, roles and other attributes; kept small because every update carries them
  */
 public record Member(
         String name,
@@ -25,27 +26,28 @@
         MemberStatus status,
         String accuser,
         Map<String, String> tags) {
-    /** Approximate bytes of the fields of fixed size. */
+    /** Approximate total size of the fixed-size fields, in bytes. */
     private static final int FIXED_BYTES = 34;
 
     private static final int TAG_OVERHEAD_BYTES = 4;
 
-    /** Whether the member may be sent to: alive, or suspected and not yet confirmed dead. */
+    /** Whether messages may be sent to the member: it is alive, or suspected and not yet confirmed dead. */
     public boolean isUp() {
         return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECT;
     }
 
-    /** Whether both claims are about one process, whatever its incarnation. */
+    /** Whether both claims are about the same process, regardless of the incarnation. */
     public boolean sameProcess(Member other) {
         return epoch == other.epoch && processId == other.processId;
     }
 
     /**
-     * Whether this claim replaces the one held of the same name. The higher epoch wins; of two processes that claim
-     * one epoch, the lower process id; of one process, the higher incarnation; of one incarnation, the later status.
-     * {@link MemberStatus#LEFT} is final for its process.
+     * Whether this claim replaces the current one about the same name. The higher epoch wins. If two processes claim
+     * the same epoch, the lower process id wins. For the same process the higher incarnation wins, and for the same
+     * incarnation the later status in the order of {@link MemberStatus}. {@link MemberStatus#LEFT} is final for its
+     * process.
      *
-     * @param current the claim about the same name that is held now, or null for none
+     * @param current the current claim about the same name, or null if there is none
      */
     public boolean supersedes(Member current) {
         if (current == null) {
@@ -65,17 +67,17 @@
                 : status.compareTo(current.status) > 0;
     }
 
-    /** The same process and incarnation with another status; {@code newAccuser} is empty for none. */
+    /** A claim about the same process and incarnation with another status; {@code newAccuser} may be empty. */
     public Member withStatus(MemberStatus newStatus, String newAccuser) {
         return new Member(name, address, epoch, processId, incarnation, newStatus, newAccuser, tags);
     }
 
-    /** The same process, alive in a new incarnation; only the member itself may claim this. */
+    /** A claim that the same process is alive in a new incarnation; only the member itself may make it. */
     public Member refuted(long newIncarnation) {
         return new Member(name, address, epoch, processId, newIncarnation, MemberStatus.ALIVE, "", tags);
     }
 
-    /** The same process, alive in its first incarnation of another epoch; only the member itself may claim this. */
+    /** A claim that the process is alive, in the first incarnation of another epoch; made only by the member itself. */
     public Member withEpoch(long newEpoch) {
         return new Member(name, address, newEpoch, processId, 1, MemberStatus.ALIVE, "", tags);
     }
--- a/src/main/java/beechseam/fleet/membership/MemberEntry.java
+++ b/src/main/java/beechseam/fleet/membership/MemberEntry.java
@@ -1,17 +1,18 @@
 package beechseam.fleet.membership;
 
-/** What this member keeps of one other; the fields belong to {@link MemberTable} and its users in this package. */
+/** State about one other member. The fields are written by {@link MemberTable} and its users in this package. */
 final class MemberEntry {
+    /** Value of {@link #upIndex} for a member that is not up. */
     static final int NOT_UP = -1;
 
-    /** The claim held for true; null only until the first one is applied. */
+    /** The current claim; null only until the first one is applied. */
     Member member;
     /** When {@link #member} was applied, in nanoseconds. */
     long changedAtNs;
-    /** The open suspicion, or null. */
+    /** The running suspicion, or null. */
     Suspicion suspicion;
-    /** Position among the members that are up, or {@link #NOT_UP}. */
+    /** Index in the list of members that are up, or {@link #NOT_UP}. */
     int upIndex = NOT_UP;
-    /** The update last queued about this member, or null; it may have been sent often enough already. */
+    /** The last queued update about this member, or null; it may have left the queue at the retransmit limit. */
     UpdateQueue.Update update;
 }
--- a/src/main/java/beechseam/fleet/membership/MemberStatus.java
+++ b/src/main/java/beechseam/fleet/membership/MemberStatus.java
@@ -1,16 +1,16 @@
 package beechseam.fleet.membership;
 
 /**
- * What is claimed of a member. The order counts: of two claims with one incarnation the later constant wins, see
- * {@link Member#supersedes}.
+ * The claimed status of a member. The order of the constants matters: of two claims with the same incarnation the one
+ * with the later constant wins, see {@link Member#supersedes}.
  */
 public enum MemberStatus {
-    /** Answers pings, or has not been suspected yet. */
+    /** The member answers pings, or has not been suspected yet. */
     ALIVE,
-    /** Did not answer the probe of at least one member; may still refute. */
+    /** At least one member received no ack to a probe; the suspected member can still refute. */
     SUSPECT,
-    /** Confirmed dead: the suspicion timed out without a refutation. */
+    /** The member is confirmed dead: the suspicion timed out without a refutation. */
     DEAD,
-    /** Left by its own decision; final for this process. */
+    /** The member announced that it left; final for this process. */
     LEFT
 }
--- a/src/main/java/beechseam/fleet/membership/MemberTable.java
+++ b/src/main/java/beechseam/fleet/membership/MemberTable.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * All members that this one knows, dead and departed ones too, and the set of those that are up, from which one is
- * drawn in O(1). Iteration is in the order in which members were first heard of.
+ * All members that this process knows, including dead and departed ones, and the set of members that are up, from
+ * which a random one is chosen in O(1). Iteration follows the order in which members were first discovered.
  */
 final class MemberTable {
-    /** Draws for each entry asked for, before {@link #sample} settles for fewer. */
+    /** Random draws per requested entry, after which {@link #sample} returns fewer entries than requested. */
     private static final int DRAWS_PER_ENTRY = 4;
 
     private final LocalNode local;
@@ -23,19 +23,19 @@
         probeRound = new ProbeRound(local.random);
     }
 
-    /** The entry of another member, or null. */
+    /** The entry of another member, or null for an unknown name. */
     MemberEntry entry(String name) {
         return entries.get(name);
     }
 
-    /** A new entry, without a claim yet. */
+    /** Adds an entry that has no claim yet. */
     MemberEntry create(String name) {
         MemberEntry entry = new MemberEntry();
         entries.put(name, entry);
         return entry;
     }
 
-    /** The other members, those that are down included. */
+    /** All other members, including those that are down. */
     Iterable<MemberEntry> others() {
         return entries.values();
     }
@@ -45,7 +45,7 @@
         return upMembers;
     }
 
-    /** The claim held of a name, this process's own included, or null. */
+    /** The current claim about a name, which may be this process's own, or null for an unknown name. */
     Member find(String name) {
         if (name.equals(local.self().name())) {
             return local.self();
@@ -54,7 +54,7 @@
         return entry == null ? null : entry.member;
     }
 
-    /** The full state: this process, then all others. */
+    /** The full state: this process, followed by all other members. */
     List<Member> all() {
         List<Member> all = new ArrayList<>(entries.size() + 1);
         all.add(local.self());
@@ -62,12 +62,12 @@
         return all;
     }
 
-    /** The number of members that are up, this process included once it is one. */
+    /** The number of members that are up. This process is counted once it is a member. */
     int size() {
         return upMembers.size() + (local.isMember() ? 1 : 0);
     }
 
-    /** Moves an entry into or out of the set of those that are up. */
+    /** Adds an entry to the set of members that are up, or removes it. */
     void setUp(MemberEntry entry, boolean isUp) {
         if (isUp && entry.upIndex == MemberEntry.NOT_UP) {
             entry.upIndex = upMembers.size();
@@ -83,12 +83,12 @@
         }
     }
 
-    /** The member to probe next, or null. */
+    /** The member to probe next, or null if no member is up. */
     MemberEntry nextToProbe() {
         return probeRound.next(upMembers);
     }
 
-    /** Up to {@code count} members that are up, drawn at random, without {@code excluded} (null for none). */
+    /** Up to {@code count} distinct random members that are up, without {@code excluded} (null excludes none). */
     List<MemberEntry> sample(int count, MemberEntry excluded) {
         List<MemberEntry> sampled = new ArrayList<>(count);
         int candidates = upMembers.size();
@@ -101,14 +101,14 @@
         return sampled;
     }
 
-    /** Drops dead and departed members whose retention is over. */
+    /** Removes dead and departed members whose tombstone retention has expired. */
     void removeExpired() {
         entries.values()
                 .removeIf(entry -> !entry.member.isUp()
                         && local.timers.nowNs() - entry.changedAtNs > local.options.tombstoneRetentionNs());
     }
 
-    /** The same at two members that hold the same processes for up, in whatever order; O(n). */
+    /** A hash of the processes that this member considers up, independent of their order; costs O(n). */
     long digest() {
         long sum = local.isMember() ? hash(local.self()) : 0;
         for (MemberEntry entry : upMembers) {
@@ -117,7 +117,7 @@
         return sum;
     }
 
-    /** Mixes name, epoch and process id by the finalizer of SplitMix64. */
+    /** Mixes name, epoch and process id with the finalizer of SplitMix64. */
     private static long hash(Member member) {
         long bits = (member.name().hashCode() * 31L + member.epoch()) * 0x9E3779B97F4A7C15L ^ member.processId();
         bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/beechseam/fleet/membership/MemberUpdates.java
+++ b/src/main/java/beechseam/fleet/membership/MemberUpdates.java
@@ -1,8 +1,8 @@
 package beechseam.fleet.membership;
 
 /**
- * Applies claims about other members, whether received or made by this member's own probes: decides which hold, opens
- * and ends suspicions, reports changes to the host and queues them for gossip.
+ * Applies claims about other members, whether received or the result of this member's own probes. It decides which
+ * claims are kept, starts and ends suspicions, reports changes to the host and queues them for gossip.
  */
 final class MemberUpdates {
     private final LocalNode local;
@@ -18,7 +18,8 @@
     /**
      * Merges a received claim about another member.
      *
-     * @param fullState whether it is from an exchange of full state, where old claims of a death reappear
+     * @param update    the received claim
+     * @param fullState whether the claim is part of a full state, in which outdated claims of a death can reappear
      */
     void merge(Member update, boolean fullState) {
         MemberEntry entry = members.entry(update.name());
@@ -32,7 +33,7 @@
             return;
         }
         if (update.status() == MemberStatus.DEAD && fullState && current.isUp() && update.sameProcess(current)) {
-            // The claim may date from the other side of a partition: the member gets the time to refute it.
+            // The claim may come from the other side of a partition: the member is suspected, so that it can refute it.
             Member suspect = update.withStatus(MemberStatus.SUSPECT, update.accuser());
             if (suspect.supersedes(current)) {
                 apply(entry, suspect, reason(current, suspect));
@@ -45,7 +46,7 @@
         apply(entry, update, reason(current, update));
     }
 
-    /** A claim that does not replace the one held: a further accuser, or one that is out of date. */
+    /** Handles a claim that does not supersede the current one: it adds an accuser or is out of date. */
     private void mergeOlder(MemberEntry entry, Member update) {
         Member current = entry.member;
         if (!update.sameProcess(current)) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /** This member's own probe had no ack. */
+    /** Suspects a member after this member's own probe of it received no ack. */
     void suspect(MemberEntry entry) {
         Member member = entry.member;
         String accuser = local.self().name();
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Grants every suspect the time for which this process was paused until {@code atNs}. */
+    /** Extends every suspicion by the length of a pause of this process that ended at {@code atNs}. */
     void extendSuspicions(long stallNs, long atNs) {
         for (MemberEntry entry : members.upMembers()) {
             if (entry.suspicion != null) {
@@ -96,7 +97,7 @@
         if (before == null || before.status() != member.status() || !before.sameProcess(member)) {
             local.reportChange(before, member, reason);
         }
-        if (before != null || member.isUp()) { // deaths from before this process joined are not gossiped again
+        if (before != null || member.isUp()) { // deaths from before this process joined are not gossiped
             dissemination.enqueue(entry, member);
         }
     }
@@ -119,7 +120,7 @@
 
     private void confirmSuspicion(MemberEntry entry, String accuser) {
         if (entry.suspicion != null && entry.suspicion.confirm(accuser, local.timers)) {
-            // Gossiped under the new accuser's name, so that others count it too.
+            // The update names the new accuser, so that other members count it as well.
             dissemination.enqueue(entry, entry.member.withStatus(MemberStatus.SUSPECT, accuser));
         }
     }
--- a/src/main/java/beechseam/fleet/membership/Membership.java
+++ b/src/main/java/beechseam/fleet/membership/Membership.java
@@ -12,13 +12,13 @@
 import java.util.Random;
 
 /**
- * One node's part in the membership protocol: SWIM with suspicion, incarnations and piggybacked gossip updates, and
- * Lifeguard's three extensions: local health scales the time-outs of a degraded member, a suspicion lasts longer the
- * fewer accusers it has, and a suspect is told of the claim with the ping. This class takes messages and time and
- * passes them to its parts in a fixed order.
+ * One node of the membership protocol: SWIM with suspicion, incarnations and piggybacked gossip updates, and
+ * Lifeguard's three extensions. Local health scales the time-outs of a degraded member, a suspicion lasts longer the
+ * fewer accusers it has, and a ping to a suspect carries the claim that it is suspected. This class receives messages
+ * and the current time, and passes them to its components in a fixed order.
  *
- * <p>Single-threaded. The same seed and events give the same messages. A message costs O(log n) an update it carries,
- * a {@link StateExchange} O(n). Times are nanoseconds of a clock that the host chooses.
+ * <p>Single-threaded. The same seed and events produce the same messages. Handling a message costs O(log n) per update
+ * that it carries, and O(n) for a {@link StateExchange}. Times are nanoseconds of a clock that the host chooses.
  */
 public final class Membership {
     private final LocalNode local;
@@ -32,13 +32,13 @@
     private final JoinProtocol joinProtocol;
 
     /**
-     * Sets up a process that has not begun to join.
+     * Creates the membership of a process that has not started to join.
      *
-     * @param self    name, address, process id and tags of this process; status, epoch and incarnation are set here
+     * @param self    name, address, process id and tags of this process; its status, epoch and incarnation are ignored
      * @param options settings of the protocol
      * @param nowNs   the current time
-     * @param seed    of all random draws
-     * @param host    sends messages and is told of changes
+     * @param seed    seed of all random numbers
+     * @param host    sends messages and is notified of changes
      */
     public Membership(Member self, MembershipOptions options, long nowNs, long seed, MembershipHost host) {
         timers = new Timers(nowNs);
@@ -52,18 +52,18 @@
         joinProtocol = new JoinProtocol(local, members, dissemination, failureDetector, stateExchanger);
     }
 
-    /** Begins to join by contacting the seeds; without other seeds this process is a member at once. */
+    /** Starts to join by contacting the seeds; without other seeds this process becomes a member immediately. */
     public void start(long atNs) {
         timers.setNow(atNs);
         joinProtocol.start();
     }
 
-    /** When {@link #advance} has to be called next, {@code Long.MAX_VALUE} for never. */
+    /** The time of the next call to {@link #advance}, or {@code Long.MAX_VALUE} if no task is scheduled. */
     public long nextDueNs() {
         return timers.nextDueNs();
     }
 
-    /** Runs what is due. A call that comes late counts as a pause of this process, not as silence of the others. */
+    /** Runs all tasks that are due. A late call counts as a pause of this process, not a failure of others. */
     public void advance(long atNs) {
         long lateNs = atNs - nextDueNs();
         if (local.options.localHealthEnabled() && lateNs > local.options.probeTimeoutNs() / 2) {
@@ -74,12 +74,12 @@
     }
 
     /**
-     * Takes a received message.
+     * Handles a received message.
      *
      * @param atNs    the current time
-     * @param name    of the sender; empty where it is not known
-     * @param address of the sender, to which an answer is sent
-     * @param message as received
+     * @param name    name of the sender; empty if it is not known
+     * @param address address of the sender, to which replies are sent
+     * @param message the received message
      */
     public void receive(long atNs, String name, String address, Message message) {
         timers.advanceTo(atNs);
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Leaves the fleet; the phase is {@link MembershipPhase#LEFT} once the departure has been announced. */
+    /** Leaves the fleet. The phase becomes {@link MembershipPhase#LEFT} once the departure has been announced. */
     public void leave(long atNs) {
         timers.setNow(atNs);
         if (phase() != MembershipPhase.MEMBER) {
@@ -132,22 +132,22 @@
         timers.after(local.options.probeIntervalNs(), () -> local.setPhase(MembershipPhase.LEFT));
     }
 
-    /** The stage of this process's own membership. */
+    /** The phase of this process's own membership. */
     public MembershipPhase phase() {
         return local.phase();
     }
 
-    /** This process as it presents itself. */
+    /** The claim that this process currently makes about itself. */
     public Member self() {
         return local.self();
     }
 
-    /** All members that are known, this process first, dead and departed ones included. */
+    /** All known members, including dead and departed ones; this process comes first. */
     public List<Member> members() {
         return members.all();
     }
 
-    /** When the claim held of a name was applied; the start for this process, -1 for a name that is not known. */
+    /** When the current claim about a name was applied: the start time for this process, -1 for an unknown name. */
     public long changedAtNs(String name) {
         if (name.equals(local.self().name())) {
             return local.startedNs();
@@ -156,32 +156,32 @@
         return entry == null ? -1 : entry.changedAtNs;
     }
 
-    /** The claim held of a name, or null where it is not known. */
+    /** The current claim about a name, or null for an unknown name. */
     public Member member(String name) {
         return members.find(name);
     }
 
-    /** The number of members that are up, this process included once it is one. */
+    /** The number of members that are up. This process is counted once it is a member. */
     public int size() {
         return members.size();
     }
 
-    /** Grows by one with each change that this process applies; versions of two processes do not compare. */
+    /** A version that grows by one with each change that this process reports; not comparable across processes. */
     public long viewVersion() {
         return local.viewVersion();
     }
 
-    /** The same at two members that hold the same processes for up, in whatever order; O(n). */
+    /** A hash of the processes that this member considers up, equal at members with the same view; costs O(n). */
     public long digest() {
         return members.digest();
     }
 
-    /** Lifeguard's local health score: 0 for healthy, up to 8, where time-outs are nine times as long. */
+    /** Lifeguard's local health score, from 0 (healthy) to 8, at which time-outs are nine times as long. */
     public int localHealth() {
         return local.awareness.score();
     }
 
-    /** The counts since the start. */
+    /** The event counts since this object was created. */
     public MembershipMetrics metrics() {
         return local.counters.snapshot();
     }
--- a/src/main/java/beechseam/fleet/membership/MembershipCounters.java
+++ b/src/main/java/beechseam/fleet/membership/MembershipCounters.java
@@ -1,6 +1,6 @@
 package beechseam.fleet.membership;
 
-/** The running counts behind {@link MembershipMetrics}, one field for each of its components. */
+/** Mutable counters for {@link MembershipMetrics}, with one field for each of its components. */
 final class MembershipCounters {
     long probes;
     long failedProbes;
--- a/src/main/java/beechseam/fleet/membership/MembershipOptions.java
+++ b/src/main/java/beechseam/fleet/membership/MembershipOptions.java
@@ -5,17 +5,19 @@
 /**
  * Settings of the membership protocol. Times are nanoseconds.
  *
- * @param probeIntervalNs          one member is probed in each such interval
- * @param probeTimeoutNs           time for a direct ack before indirect pings are sent; under {@code probeIntervalNs}
- * @param indirectChecks           number of members asked to ping indirectly; also the number of further accusers
- *                                 that shorten a suspicion to its minimum
- * @param suspicionMultiplier      minimum time-out of a suspicion, in probe intervals times the decimal logarithm of
- *                                 the fleet's size
- * @param maxSuspicionMultiplier   a suspicion with one accuser lasts this many times the minimum
- * @param stateExchangeIntervalNs  full state is exchanged with one other member in each such interval
- * @param tombstoneRetentionNs     dead and departed members are remembered so long, against old claims about them
+ * @param probeIntervalNs          interval in which one member is probed
+ * @param probeTimeoutNs           time to wait for a direct ack before indirect pings are sent; less than
+ *                                 {@code probeIntervalNs}
+ * @param indirectChecks           number of members that are asked for an indirect ping; also the number of
+ *                                 additional accusers that shorten a suspicion to its minimum
+ * @param suspicionMultiplier      minimum time-out of a suspicion, as a multiple of the probe interval times the
+ *                                 decimal logarithm of the fleet's size (at least 1)
+ * @param maxSuspicionMultiplier   time-out of a suspicion with one accuser, as a multiple of the minimum
+ * @param stateExchangeIntervalNs  interval in which the full state is exchanged with one random member
+ * @param tombstoneRetentionNs     how long dead and departed members are kept, so that old claims about them are
+ *                                 recognized
  * @param localHealthEnabled       whether Lifeguard's local health scales this member's time-outs
- * @param seeds                    addresses contacted at the start, and again while no member is known there
+ * @param seeds                    addresses contacted at the start, and later while no member is up at them
  */
 public record MembershipOptions(
         long probeIntervalNs,
@@ -30,13 +32,13 @@
     /** One second, in nanoseconds. */
     public static final long SECOND_NS = 1_000_000_000L;
 
-    /** The defaults, with these seeds. */
+    /** The default settings with the given seeds. */
     public static MembershipOptions defaults(List<String> seeds) {
         return new MembershipOptions(
                 SECOND_NS, SECOND_NS / 2, 3, 4, 6, 30 * SECOND_NS, 24 * 3600 * SECOND_NS, true, seeds);
     }
 
-    /** These settings with other seeds. */
+    /** A copy of these settings with other seeds. */
     public MembershipOptions withSeeds(List<String> newSeeds) {
         return new MembershipOptions(
                 probeIntervalNs,
@@ -50,7 +52,7 @@
                 newSeeds);
     }
 
-    /** These settings with local health on or off. */
+    /** A copy of these settings with local health enabled or disabled. */
     public MembershipOptions withLocalHealth(boolean enabled) {
         return new MembershipOptions(
                 probeIntervalNs,
--- a/src/main/java/beechseam/fleet/membership/MembershipPhase.java
+++ b/src/main/java/beechseam/fleet/membership/MembershipPhase.java
@@ -1,15 +1,15 @@
 package beechseam.fleet.membership;
 
-/** The stages of this process's own membership. */
+/** The phases of this process's own membership. */
 public enum MembershipPhase {
-    /** Contacts the seeds and waits to be accepted. */
+    /** The process contacts the seeds and waits for one to accept it. */
     JOINING,
-    /** Takes part in the protocol. */
+    /** The process takes part in the protocol. */
     MEMBER,
-    /** Announces its departure. */
+    /** The process announces its departure. */
     LEAVING,
-    /** The departure has been announced; the process is silent. */
+    /** The departure has been announced; the process no longer takes part in the protocol. */
     LEFT,
-    /** Another process holds this name; the process is silent. */
+    /** Another process holds this name; the process no longer takes part in the protocol. */
     REJECTED
 }
--- a/src/main/java/beechseam/fleet/membership/Message.java
+++ b/src/main/java/beechseam/fleet/membership/Message.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** What members send to each other. Every message carries gossip updates ({@link #updates}) beside its own content. */
+/** A message between members. Every message carries gossip updates ({@link #updates}) besides its own content. */
 public sealed interface Message {
-    /** Approximate bytes that each message takes. */
+    /** Approximate overhead of each message, in bytes. */
     int FRAME_BYTES = 12;
-    /** Approximate bytes of the content of a message with at most a sequence number. */
+    /** Approximate size of the content of a message that holds at most a sequence number, in bytes. */
     int SMALL_CONTENT_BYTES = 6;
 
-    /** Gossip updates carried along, in the order in which they are to be applied; never null, may be empty. */
+    /** The piggybacked gossip updates, in the order in which they are applied; never null, may be empty. */
     List<Member> updates();
 
     /**
-     * Asks the target whether it is alive. Another process than the one meant does not acknowledge.
+     * Asks the target whether it is alive. A process other than the addressed one does not acknowledge.
      *
      * @param sequence  chosen by the sender, returned in {@link Ack}
-     * @param target    name of the member that is meant
-     * @param processId of the process that is meant, 0 for whichever holds the name
+     * @param target    name of the addressed member
+     * @param processId id of the addressed process, or 0 for any process that holds the name
      * @param updates   gossip updates
      */
     record Ping(long sequence, String target, long processId, List<Member> updates) implements Message {
@@ -34,8 +34,8 @@
      *
      * @param sequence  chosen by the sender, returned in {@link Ack} or {@link Nack}
      * @param target    name of the member to ping
-     * @param processId of the process that is meant
-     * @param address   of the target
+     * @param processId id of the process to ping
+     * @param address   address of the target
      * @param updates   gossip updates
      */
     record PingRequest(long sequence, String target, long processId, String address, List<Member> updates)
@@ -48,16 +48,16 @@
         }
     }
 
-    /** Answer to a {@link Ping} or {@link PingRequest} of this sequence number: the target is alive. */
+    /** Answer to a {@link Ping} or {@link PingRequest} with this sequence number: the target is alive. */
     record Ack(long sequence, List<Member> updates) implements Message {}
 
-    /** Answer to a {@link PingRequest} of this sequence number: the target has not answered its sender either. */
+    /** Answer to a {@link PingRequest} with this sequence number: the target has not answered the helper either. */
     record Nack(long sequence, List<Member> updates) implements Message {}
 
-    /** Gossip updates alone. */
+    /** Carries only gossip updates. */
     record Gossip(List<Member> updates) implements Message {}
 
-    /** A process asks to join as {@code joiner}; the epoch given there is not relied on. */
+    /** Asks to join as {@code joiner}; the receiver does not rely on the epoch in it. */
     record Join(Member joiner, List<Member> updates) implements Message {
         @Override
         public int contentBytes() {
@@ -65,10 +65,10 @@
         }
     }
 
-    /** The join is accepted; {@code updates} is the full state, with earlier processes of the joiner's name. */
+    /** Accepts a join; {@code updates} is the full state, including an earlier process of the joiner's name. */
     record JoinAccepted(List<Member> updates) implements Message {}
 
-    /** The join is rejected; {@code reason} is text for operators. */
+    /** Rejects a join; {@code reason} is text for operators. */
     record JoinRejected(String reason, List<Member> updates) implements Message {
         private static final int FIXED_BYTES = 2;
 
@@ -78,10 +78,10 @@
         }
     }
 
-    /** The sender's full state (push-pull); a receiver answers with its own unless {@code reply} is set. */
+    /** Carries the sender's full state (push-pull). The receiver answers with its own unless {@code reply} is set. */
     record StateExchange(boolean reply, List<Member> updates) implements Message {}
 
-    /** Approximate size on a link, in bytes, frame included. */
+    /** Approximate size of the message on the network, in bytes, including its frame. */
     default int approximateBytes() {
         int bytes = FRAME_BYTES + contentBytes();
         for (Member update : updates()) {
@@ -90,7 +90,7 @@
         return bytes;
     }
 
-    /** Approximate size of what the message holds beside its updates, in bytes. */
+    /** Approximate size of the content besides the updates, in bytes. */
     default int contentBytes() {
         return SMALL_CONTENT_BYTES;
     }
--- a/src/main/java/beechseam/fleet/membership/ProbeRound.java
+++ b/src/main/java/beechseam/fleet/membership/ProbeRound.java
@@ -6,8 +6,9 @@
 import java.util.Random;
 
 /**
- * SWIM's order of probing: a random permutation of the members that are up, shuffled anew after each round, so that
- * the time until a given member is probed is bounded. A new member enters at a random place of the current round.
+ * SWIM's probe order: a random permutation of the members that are up, which is reshuffled after each round, so that
+ * the time until a given member is probed is bounded. A new member is inserted at a random position of the current
+ * round.
  */
 final class ProbeRound {
     private final Random random;
@@ -18,12 +19,12 @@
         this.random = random;
     }
 
-    /** Adds a member at a random place of what is left of this round. */
+    /** Inserts a member at a random position of the rest of this round. */
     void add(MemberEntry entry) {
         order.add(next + random.nextInt(order.size() - Math.min(next, order.size()) + 1), entry);
     }
 
-    /** The member to probe next, or null where none of {@code upMembers} can be probed. */
+    /** The member to probe next, or null if none of {@code upMembers} can be probed. */
     MemberEntry next(List<MemberEntry> upMembers) {
         for (int i = order.size(); i >= 0; i--) {
             if (next >= order.size()) {
--- a/src/main/java/beechseam/fleet/membership/Refutation.java
+++ b/src/main/java/beechseam/fleet/membership/Refutation.java
@@ -1,11 +1,11 @@
 package beechseam.fleet.membership;
 
 /**
- * Handles claims about this process itself: refutes an accusation by a higher incarnation, takes the epoch after an
- * earlier process of its name, and settles with another process that claims the name at the same time.
+ * Handles claims about this process itself. It refutes an accusation with a higher incarnation, takes the epoch after
+ * that of an earlier process of its name, and resolves the conflict with another running process that claims the name.
  */
 final class Refutation {
-    /** Begins the key of a verification that is on this process's own behalf. */
+    /** Prefix of the keys of verifications about this process's own name. */
     private static final String OWN_VERIFICATION = "self";
 
     private final LocalNode local;
@@ -18,13 +18,13 @@
         this.failureDetector = failureDetector;
     }
 
-    /** A claim about this process's name was received. */
+    /** Handles a received claim about this process's name. */
     void onClaim(Member claim) {
         Member self = local.self();
         if (claim.processId() == self.processId()) {
             refute(claim);
         } else if (local.phase() == MembershipPhase.JOINING) {
-            // Whoever accepts the join has verified that the name is free.
+            // The member that accepts the join verifies that the name is available.
             local.setSelf(self.withEpoch(Math.max(self.epoch(), claim.epoch() + 1)));
         } else if (local.isMember() && claim.supersedes(self)) {
             claimName(claim);
@@ -38,12 +38,15 @@
                 && claim.status() != MemberStatus.ALIVE
                 && claim.incarnation() >= self.incarnation()) {
             local.counters.refutations++;
-            local.awareness.adjust(1); // an accused member has probably been slow itself
+            local.awareness.adjust(1); // an accused member has probably been slow
             dissemination.announceSelf(self.refuted(claim.incarnation() + 1));
         }
     }
 
-    /** Another process has the better claim to this name: it is superseded unless it answers. */
+    /**
+     * Resolves a conflict with another process whose claim to this name takes precedence. This process takes the next
+     * epoch if the other one is down or does not answer, and is rejected if it answers.
+     */
     private void claimName(Member other) {
         Runnable takeNextEpoch = () -> dissemination.announceSelf(local.self().withEpoch(other.epoch() + 1));
         if (!other.isUp() || other.address().equals(local.self().address())) {
--- a/src/main/java/beechseam/fleet/membership/StateExchanger.java
+++ b/src/main/java/beechseam/fleet/membership/StateExchanger.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * Anti-entropy by push-pull: in each interval the full state goes to one random member that is up, and to one that is
- * held for dead or a seed that is no member, since after a partition each side holds the other for dead. O(n) an
- * exchange.
+ * Anti-entropy by push-pull. In each interval the full state is sent to one random member that is up, and to one
+ * random process that is considered dead or a seed at which no member is up: after a partition each side considers
+ * the other dead, and these exchanges reconnect them. An exchange costs O(n).
  */
 final class StateExchanger {
-    /** Up to this size the interval is the configured one; above, it grows with the logarithm of the size. */
+    /** Fleet size above which the interval grows with the logarithm of the size; up to it the configured interval applies. */
     private static final double SCALING_THRESHOLD = 32;
 
     private final LocalNode local;
@@ -29,7 +29,7 @@
         local.timers.after(local.jittered(intervalNs()), this::exchange);
     }
 
-    /** Answers another member's exchange with this one's full state. */
+    /** Answers another member's exchange with this process's full state. */
     void onExchange(String name, String address, StateExchange message) {
         if (!message.reply() && local.phase() != MembershipPhase.JOINING) {
             local.host.send(name, address, new StateExchange(true, members.all()));
@@ -44,32 +44,33 @@
             local.send(entry.member, new StateExchange(false, members.all()));
         }
         members.removeExpired();
-        List<Member> lost = lostMembers();
-        if (!lost.isEmpty()) {
-            Member receiver = lost.get(local.random.nextInt(lost.size()));
+        List<Member> candidates = reconnectCandidates();
+        if (!candidates.isEmpty()) {
+            Member receiver = candidates.get(local.random.nextInt(candidates.size()));
             local.send(receiver, new StateExchange(false, members.all()));
         }
-        long delayNs = lost.isEmpty() ? intervalNs() : Math.min(intervalNs(), local.options.stateExchangeIntervalNs());
+        long delayNs =
+                candidates.isEmpty() ? intervalNs() : Math.min(intervalNs(), local.options.stateExchangeIntervalNs());
         local.timers.after(local.jittered(delayNs), this::exchange);
     }
 
-    /** Those held for dead, and the seeds at whose address no member is up. */
-    private List<Member> lostMembers() {
-        List<Member> lost = new ArrayList<>();
+    /** Members that are considered dead, and seeds at whose address no member is up. */
+    private List<Member> reconnectCandidates() {
+        List<Member> candidates = new ArrayList<>();
         Set<String> upAddresses = new HashSet<>();
         for (MemberEntry entry : members.others()) {
             if (entry.member.isUp()) {
                 upAddresses.add(entry.member.address());
             } else if (entry.member.status() == MemberStatus.DEAD) {
-                lost.add(entry.member);
+                candidates.add(entry.member);
             }
         }
         for (String seed : local.otherSeeds()) {
             if (!upAddresses.contains(seed)) {
-                lost.add(new Member("", seed, 0, 0, 0, MemberStatus.DEAD, "", Map.of()));
+                candidates.add(new Member("", seed, 0, 0, 0, MemberStatus.DEAD, "", Map.of()));
             }
         }
-        return lost;
+        return candidates;
     }
 
     private long intervalNs() {
--- a/src/main/java/beechseam/fleet/membership/Suspicion.java
+++ b/src/main/java/beechseam/fleet/membership/Suspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Lifeguard's suspicion of one member: its time-out starts at the maximum and shrinks towards the minimum with the
- * logarithm of the number of independent accusers, so that one member with a bad link cannot confirm a death alone
- * that many others could not observe. Times are nanoseconds.
+ * Lifeguard's suspicion of one member. Its time-out starts at the maximum and shrinks towards the minimum with the
+ * logarithm of the number of independent accusers. A single accuser, whose own link may be bad, therefore gives the
+ * suspect the longest time to refute. Times are nanoseconds.
  */
 final class Suspicion {
     private final Set<String> accusers = new HashSet<>();
@@ -14,10 +14,10 @@
     private final int expectedConfirmations;
     private long minTimeoutNs;
     private long maxTimeoutNs;
-    /** Confirms the death unless cancelled. */
+    /** Reports the death when it fires, unless it is cancelled. */
     private Timers.Timer timeout;
 
-    /** @param expectedConfirmations so many accusers beside the first shorten the time-out to its minimum */
+    /** @param expectedConfirmations number of accusers besides the first that shorten the time-out to its minimum */
     Suspicion(String accuser, long startedNs, long minTimeoutNs, long maxTimeoutNs, int expectedConfirmations) {
         accusers.add(accuser);
         this.startedNs = startedNs;
@@ -26,17 +26,21 @@
         this.expectedConfirmations = expectedConfirmations;
     }
 
-    /** Schedules the time-out; to be called once. */
+    /** Schedules the time-out. Must be called exactly once. */
     void start(Timers timers, Runnable onTimeout) {
         timeout = timers.at(deadlineNs(), onTimeout);
     }
 
-    /** Ends the suspicion without a result. */
+    /** Ends the suspicion without reporting a death. */
     void cancel() {
         timeout.cancel();
     }
 
-    /** Counts an accuser and shortens the time-out; false where that one, or enough, are counted already. */
+    /**
+     * Counts an accuser and shortens the time-out.
+     *
+     * @return false if this accuser, or the expected number of confirmations, has already been counted
+     */
     boolean confirm(String accuser, Timers timers) {
         if (accusers.size() > expectedConfirmations || !accusers.add(accuser)) {
             return false;
@@ -45,14 +49,14 @@
         return true;
     }
 
-    /** Grants the suspect the time for which this process was paused until {@code atNs}. */
+    /** Extends the time-out by the length of a pause of this process that ended at {@code atNs}. */
     void extend(long stallNs, long atNs, Timers timers) {
         maxTimeoutNs += stallNs;
         minTimeoutNs += stallNs;
         timeout = timers.reschedule(timeout, Math.max(timeout.dueNs(), atNs) + stallNs);
     }
 
-    /** The time-out by the accusers counted so far, which may be past already. */
+    /** When the suspicion times out given the accusers counted so far; may be in the past. */
     long deadlineNs() {
         if (accusers.size() == 1) {
             return startedNs + maxTimeoutNs;
--- a/src/main/java/beechseam/fleet/membership/Timers.java
+++ b/src/main/java/beechseam/fleet/membership/Timers.java
@@ -3,9 +3,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The clock of one {@link Membership} as its host tells it, and the tasks scheduled on it. Tasks of one time run in
- * the order in which they were scheduled. Scheduling costs O(log n); a cancelled task stays queued until its time.
- * Times are nanoseconds.
+ * The clock of one {@link Membership}, which its host advances, and the tasks scheduled on it. Tasks due at the same
+ * time run in the order in which they were scheduled. Scheduling costs O(log n). A cancelled task stays queued until
+ * its time. Times are nanoseconds.
  */
 final class Timers {
     /** A scheduled task. */
@@ -26,7 +26,7 @@
             return dueNs;
         }
 
-        /** Prevents the task from running; without effect where it has run. */
+        /** Prevents the task from running; has no effect if the task has already run. */
         void cancel() {
             cancelled = true;
         }
@@ -55,17 +55,17 @@
         nowNs = atNs;
     }
 
-    /** Sets the current time unless it is past that already. */
+    /** Advances the current time; has no effect if {@code atNs} is in the past. */
     void advanceTo(long atNs) {
         nowNs = Math.max(nowNs, atNs);
     }
 
-    /** Runs the task once so much time has passed. */
+    /** Schedules the task to run after the delay. */
     Timer after(long delayNs, Runnable task) {
         return at(nowNs + delayNs, task);
     }
 
-    /** Runs the task at that time, or as soon as possible where it is past. */
+    /** Schedules the task to run at the given time, or as soon as possible if that is in the past. */
     Timer at(long dueNs, Runnable task) {
         Timer timer = new Timer(dueNs, ++scheduled, task);
         queue.add(timer);
@@ -78,7 +78,7 @@
         return at(dueNs, timer.task);
     }
 
-    /** When the next task is due, {@code Long.MAX_VALUE} for never. */
+    /** When the next task is due, or {@code Long.MAX_VALUE} if no task is scheduled. */
     long nextDueNs() {
         while (!queue.isEmpty() && queue.peek().cancelled) {
             queue.poll();
@@ -86,14 +86,14 @@
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().dueNs;
     }
 
-    /** Runs all tasks that are due, those included that they schedule for now. */
+    /** Runs all tasks that are due, including tasks that these schedule for the current time. */
     void runDue() {
         while (nextDueNs() <= nowNs) {
             queue.poll().task.run();
         }
     }
 
-    /** Drops all tasks. */
+    /** Removes all tasks. */
     void clear() {
         queue.clear();
     }
--- a/src/main/java/beechseam/fleet/membership/UpdateQueue.java
+++ b/src/main/java/beechseam/fleet/membership/UpdateQueue.java
@@ -5,8 +5,9 @@
 import java.util.TreeSet;
 
 /**
- * Gossip updates that wait to be sent, at most one a member. Those sent least often come first, of these the newest;
- * an update is dropped once it has been sent up to the retransmit limit. Each operation costs O(log n) an update.
+ * Queue of gossip updates to send, with at most one update per member. Updates that were sent least often come first,
+ * and among these the newest. An update is dropped once it has been sent as often as the retransmit limit allows.
+ * Operations cost O(log n) per update.
  */
 final class UpdateQueue {
     /** One queued update. */
@@ -39,7 +40,7 @@
         queue.clear();
     }
 
-    /** Queues an update in place of the one that waits for this entry. */
+    /** Queues an update, replacing any queued update for the same entry. */
     void enqueue(MemberEntry entry, Member member) {
         if (entry.update != null) {
             queue.remove(entry.update);
@@ -48,7 +49,7 @@
         queue.add(entry.update);
     }
 
-    /** The next updates for one message, until they exceed {@code maxBytes}; each counts as sent once more. */
+    /** Takes updates for one message until they reach {@code maxBytes}, and counts each as sent once more. */
     List<Member> take(int maxBytes, int retransmitLimit) {
         List<Member> taken = new ArrayList<>();
         List<Update> requeued = new ArrayList<>();
--- a/src/main/java/beechseam/fleet/model/MembershipExperiment.java
+++ b/src/main/java/beechseam/fleet/model/MembershipExperiment.java
@@ -17,35 +17,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the membership protocol in a {@link VirtualFleet}, at sizes that sockets do not reach: its load, the time
- * until a death is detected and disseminated, and its false positives. The same seed gives the same result.
+ * Measures the membership protocol in a {@link VirtualFleet}, at fleet sizes that are impractical with real sockets:
+ * its load, the time until a death is detected and disseminated, and its false positives. The same seed gives the same
+ * result.
  */
 public final class MembershipExperiment {
     /**
      * One case to measure.
      *
      * @param nodes  number of nodes
-     * @param loss   share of messages that are lost, 0 to 1, each independently
-     * @param slow   share of the nodes that are paused 3 s at a time, for a quarter of the time
-     * @param health whether local health (Lifeguard) is on
-     * @param deaths number of nodes that are killed, one after the other
-     * @param hours  node-hours without a death, in which false positives and load are measured
+     * @param loss   probability, 0 to 1, with which each message is lost
+     * @param slow   share of the nodes that are paused for 3 s at a time, a quarter of the time in total
+     * @param health whether local health (Lifeguard) is enabled
+     * @param deaths number of deaths to measure, one after the other
+     * @param hours  node-hours without deaths during which false positives and load are measured
      */
     public record Case(int nodes, double loss, double slow, boolean health, int deaths, double hours) {}
 
     /**
-     * Result of one case. Times are seconds of virtual time, NaN where there was none.
+     * Result of one case. Times are seconds of virtual time, or NaN if nothing was observed.
      *
      * @param of                       the case
-     * @param detectionP50             from a kill until the first member confirms the death, median
-     * @param detectionP99             the same, 99th percentile
-     * @param disseminationP50         from a kill until all members have confirmed the death, median
-     * @param disseminationP99         the same, 99th percentile
+     * @param detectionP50             median time from a kill until the first member confirms the death
+     * @param detectionP99             99th percentile of the same time
+     * @param disseminationP50         median time from a kill until all members have confirmed the death
+     * @param disseminationP99         99th percentile of the same time
      * @param falseDeathsPerNodeHour   living members confirmed dead, each incarnation counted once
      * @param suspicionsPerNodeHour    living members suspected, each incarnation counted once
-     * @param bytesPerNodeSecond       sent by a node in the time without deaths
-     * @param messagesPerNodeSecond    sent by a node in the time without deaths
-     * @param convergenceAfterStart    from the start of all nodes at once until all know all
+     * @param bytesPerNodeSecond       bytes that a node sends per second while there are no deaths
+     * @param messagesPerNodeSecond    messages that a node sends per second while there are no deaths
+     * @param convergenceAfterStart    time from the simultaneous start of all nodes until all know all others
      */
     public record Result(
             Case of,
@@ -58,7 +59,7 @@
             double bytesPerNodeSecond,
             double messagesPerNodeSecond,
             double convergenceAfterStart) {
-        /** Case and result by the keys of the results file, in its order. */
+        /** The case and its result under the keys of the results file, in the order of that file. */
         public Map<String, Object> toRow() {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("nodes", of.nodes);
@@ -97,7 +98,7 @@
     private static final long RECOVERY_NS = 20 * SECOND_NS;
     private static final double MIN_LOAD_NS = 60 * NS_PER_SECOND;
 
-    /** Up to this size the full number of deaths is cheap enough. */
+    /** Largest fleet for which the full number of deaths is measured; larger ones take long to simulate. */
     private static final int SMALL_FLEET = 100;
 
     private static final int MAX_LATENCY_MS = 3_600_000;
@@ -111,9 +112,9 @@
     private final Histogram detectionMs = new Histogram(1, MAX_LATENCY_MS, 3);
     private final Histogram disseminationMs = new Histogram(1, MAX_LATENCY_MS, 3);
     private boolean countsFalsePositives;
-    /** Name of the member that was killed, empty for none. */
-    private String victim = "";
-    /** When the first member confirmed the victim's death, 0 for not yet. */
+    /** Name of the killed member whose death is being measured, or empty. */
+    private String killedName = "";
+    /** When the first member confirmed the death, or 0 if none has. */
     private long detectedAtNs;
 
     private int confirmations;
@@ -133,7 +134,7 @@
 
     private void memberChanged(int observer, Member before, Member after, String reason) {
         MemberStatus status = after.status();
-        if (after.name().equals(victim)) {
+        if (after.name().equals(killedName)) {
             if (status == MemberStatus.DEAD) {
                 detectedAtNs = detectedAtNs == 0 ? fleet.nowNs() : detectedAtNs;
                 confirmations++;
@@ -204,7 +205,7 @@
                 : latenciesMs.getValueAtPercentile(percentile) / MS_PER_SECOND;
     }
 
-    /** Pauses a node now and again, at random times. */
+    /** Pauses a node, and pauses it again repeatedly after random gaps. */
     private void pause(int node) {
         fleet.setPaused(node, true);
         fleet.after(PAUSE_NS, () -> {
@@ -216,7 +217,7 @@
 
     private void measureDeath() {
         int node = random.nextInt(of.nodes);
-        victim = fleet.membership(node).self().name();
+        killedName = fleet.membership(node).self().name();
         detectedAtNs = 0;
         confirmations = 0;
         fleet.run((long) (random.nextDouble() * SECOND_NS));
@@ -229,7 +230,7 @@
         if (disseminated) {
             record(disseminationMs, fleet.nowNs() - killedAtNs);
         }
-        victim = "";
+        killedName = "";
         fleet.restart(node);
         fleet.run(RECOVERY_NS);
     }
@@ -239,10 +240,11 @@
     }
 
     /**
-     * The cases of the design's table: each size with three loss rates, and with paused nodes with and without local
-     * health.
+     * The cases of the design's table: each size with three loss rates, at the highest loss rate without local health,
+     * and with paused nodes with and without local health.
      *
-     * @param scale of the number of deaths and of node-hours; 1 for the full measurement
+     * @param sizes the fleet sizes, in nodes
+     * @param scale factor of the number of deaths and of the node-hours; 1 for the full measurement
      */
     public static List<Case> standardCases(int[] sizes, double scale) {
         List<Case> cases = new ArrayList<>();
@@ -260,10 +262,11 @@
     }
 
     /**
-     * Runs cases on all cores, the largest first, each with a seed of its own.
+     * Runs cases in parallel on all cores, starting with the largest, each with its own seed.
      *
-     * @param seed     of the first case; the next ones follow on
-     * @param onResult called with each result as it is there, by one thread at a time
+     * @param cases    the cases to run
+     * @param seed     seed of the first case; each following case adds one
+     * @param onResult called with each result as soon as it is available, by one thread at a time
      * @return the results in the order of the cases
      */
     public static List<Result> runAll(List<Case> cases, long seed, Consumer<Result> onResult) {
--- a/src/main/java/beechseam/fleet/model/VirtualFleet.java
+++ b/src/main/java/beechseam/fleet/model/VirtualFleet.java
@@ -17,36 +17,38 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Discrete-event simulation of many {@link Membership}s on one virtual clock, with a network that delays, loses and
- * partitions. A paused process handles all that arrived meanwhile when it resumes, as a stopped operating system
- * process does. Nodes are numbered by the caller; a number is kept over restarts. An event costs O(log n) of those
- * pending. Times are nanoseconds from the start of the simulation.
+ * Discrete-event simulation of many {@link Membership}s on one virtual clock, with a network that can delay messages,
+ * lose messages and be partitioned. A paused process handles the events of its pause when it resumes, as a stopped
+ * operating system process does. The caller numbers the nodes; a node keeps its number across restarts. An event costs
+ * O(log n) in the number of pending events. Times are nanoseconds since the start of the simulation.
  */
 public final class VirtualFleet {
-    /** Told of each change that a member reports. */
+    /** Receives each change that a member reports. */
     @FunctionalInterface
     public interface ChangeListener {
         /**
-         * A member's view has changed.
+         * Handles a change of one node's view.
          *
-         * @param observer number of the node whose view it is
-         * @param before   the state until now, null for a member that was not known
-         * @param after    the state from now on
+         * @param observer number of the node whose view has changed
+         * @param before   the previous claim, null for a member that was not known
+         * @param after    the new claim
          * @param reason   text for operators
          */
         void memberChanged(int observer, Member before, Member after, String reason);
     }
 
-    /** Decides which messages the network lets through. */
+    /** Decides which messages the network delivers. */
     @FunctionalInterface
     public interface Network {
-        /** Whether a message sent now by one node reaches another. */
+        /** Whether a message that one node sends now reaches the other. */
         boolean delivers(int from, int to);
     }
 
-    /** An event at one process, dropped if that process has ended by then. */
+    /** An event of the whole fleet or of one process; dropped if its process has ended when it is due. */
     private final class Event extends Timer {
+        /** Node index of an event of the whole fleet. */
         private static final int NO_NODE = -1;
+        /** Generation of an event for whichever process runs as the node when the event is due. */
         private static final int ANY_GENERATION = -1;
 
         private final int nodeIndex;
@@ -78,15 +80,16 @@
         }
     }
 
-    /** One process; its successor under the same number has another generation. */
+    /** One process of a node. Each process that is started has a generation of its own. */
     private final class Node implements MembershipHost {
         final int index;
         final int generation;
         final Membership membership;
-        /** Events that arrived while the process was paused. */
+        /** Actions of the events that became due while the process was paused. */
         final List<Runnable> deferred = new ArrayList<>();
 
         boolean paused;
+        /** Time of the scheduled call to the membership, {@code Long.MAX_VALUE} for none. */
         long wakeUpAtNs = Long.MAX_VALUE;
 
         Node(int index, int generation, String name, List<String> seeds) {
@@ -150,9 +153,10 @@
     private static final int ZONES = 3;
     /** Seeds of the nodes that {@link #startAll} and {@link #restart} start. */
     private static final int[] DEFAULT_SEEDS = {0, 1, 2};
-    /** A message takes this long and an exponentially distributed time on top. */
+    /** Minimum delay of a message, to which an exponentially distributed delay is added. */
     private static final long MIN_DELAY_NS = 200_000;
 
+    /** Mean of the exponentially distributed part of the delay. */
     private static final long MEAN_EXTRA_DELAY_NS = 300_000;
 
     private final MembershipOptions options;
@@ -168,43 +172,48 @@
     private long nowNs;
     private int lastGeneration;
 
-    /** An empty fleet; {@code options} are those of every node but for the seeds, {@code seed} is of all draws. */
+    /**
+     * Creates an empty fleet.
+     *
+     * @param options settings of every node; the seeds in them are replaced
+     * @param seed    seed of all random numbers
+     */
     public VirtualFleet(MembershipOptions options, long seed) {
         this.options = options;
         random = new Random(seed);
     }
 
-    /** The virtual time, in nanoseconds. */
+    /** The current virtual time, in nanoseconds. */
     public long nowNs() {
         return nowNs;
     }
 
-    /** Sets the share of messages that are lost, 0 to 1, each independently. */
+    /** Sets the probability, 0 to 1, with which each message is lost independently of the others. */
     public void setLossRate(double rate) {
         lossRate = rate;
     }
 
-    /** Sets which messages are delivered; all, at the start. */
+    /** Sets which messages are delivered; initially all are. */
     public void setNetwork(Network newNetwork) {
         network = newNetwork;
     }
 
-    /** Sets who is told of changes from now on, in place of the listener until now. */
+    /** Sets the listener for changes, which replaces the previous one. */
     public void setListener(ChangeListener newListener) {
         listener = newListener;
     }
 
-    /** Approximate bytes of all messages sent so far, lost ones included. */
+    /** Approximate size of all messages sent so far, including lost ones, in bytes. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Number of all messages sent so far, lost ones included. */
+    /** Number of all messages sent so far, including lost ones. */
     public long messagesSent() {
         return messagesSent;
     }
 
-    /** The reason for which this node was last rejected, or null. */
+    /** The reason of the last rejection of this node, or null if it was never rejected. */
     public String rejection(int index) {
         return rejections.get(index);
     }
@@ -217,7 +226,7 @@
         return Integer.parseInt(address.substring(ADDRESS_PREFIX.length()));
     }
 
-    /** Starts a process as this node, in place of the one that runs; {@code seeds} are numbers of nodes. */
+    /** Starts a process as this node, replacing any running one; {@code seeds} are node numbers. */
     public void start(int index, String name, int... seeds) {
         List<String> addresses =
                 Arrays.stream(seeds).mapToObj(VirtualFleet::address).toList();
@@ -228,24 +237,24 @@
         node.scheduleWakeUp();
     }
 
-    /** Starts nodes 0 to {@code count - 1} at once, see {@link #restart}. */
+    /** Starts nodes 0 to {@code count - 1} at the same time, see {@link #restart}. */
     public void startAll(int count) {
         for (int i = 0; i < count; i++) {
             restart(i);
         }
     }
 
-    /** Starts a process under the node's usual name {@code node-INDEX}, with the first three nodes as seeds. */
+    /** Starts a process under the node's default name {@code node-INDEX}, with the first three nodes as seeds. */
     public void restart(int index) {
         start(index, "node-" + index, DEFAULT_SEEDS);
     }
 
-    /** Ends the process without an announcement. */
+    /** Ends the process without announcing its departure. */
     public void kill(int index) {
         nodes.remove(index);
     }
 
-    /** Pauses the process, or resumes it. */
+    /** Pauses or resumes the process. */
     public void setPaused(int index, boolean paused) {
         Node node = nodes.get(index);
         node.paused = paused;
@@ -262,14 +271,14 @@
         return node == null ? null : node.membership;
     }
 
-    /** Lets the process leave. */
+    /** Makes the process leave the fleet. */
     public void leave(int index) {
         Node node = nodes.get(index);
         node.membership.leave(nowNs);
         node.scheduleWakeUp();
     }
 
-    /** Runs the action once so much virtual time has passed. */
+    /** Schedules the action to run after the delay in virtual time. */
     public void after(long delayNs, Runnable action) {
         schedule(nowNs + delayNs, Event.NO_NODE, Event.ANY_GENERATION, action);
     }
@@ -278,15 +287,15 @@
         events.set(new Event(nodeIndex, generation, action), dueNs);
     }
 
-    /** Lets so much virtual time pass. */
+    /** Runs the simulation for the duration in virtual time. */
     public void run(long durationNs) {
         runUntil(durationNs, () -> false);
     }
 
     /**
-     * Lets virtual time pass until the condition holds, which is evaluated after each event.
+     * Runs the simulation until the condition holds. The condition is evaluated before the first and after each event.
      *
-     * @return false where it did not hold within {@code limitNs}
+     * @return false if the condition did not hold within {@code limitNs}
      */
     public boolean runUntil(long limitNs, BooleanSupplier condition) {
         long endNs = nowNs + limitNs;
@@ -301,7 +310,7 @@
         return true;
     }
 
-    /** Whether all running processes hold the same members for up, and as many as run. */
+    /** Whether all running processes agree on the set of members that are up, and its size is their number. */
     public boolean hasConverged() {
         long expected = 0;
         boolean first = true;
--- a/src/main/java/beechseam/fleet/model/package-info.java
+++ b/src/main/java/beechseam/fleet/model/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Simulation of whole fleets in virtual time: the unchanged state machines of {@code fleet.membership}, a simulated
- * network between them and one clock for all, so that a seed gives the same measurements at every run, at sizes that
- * sockets do not reach. It may use {@code fleet.membership}, {@code core}'s timer and {@code net}'s timer queue;
- * {@code cli} and tests use it.
+ * Simulation of whole fleets in virtual time. It runs the unmodified state machines of {@code fleet.membership} on one
+ * clock, connected by a simulated network. A seed gives the same measurements in every run, and fleets can be larger
+ * than tests over real sockets allow. It may use {@code fleet.membership}, {@code core}'s timer and {@code net}'s
+ * timer queue; {@code cli} and tests use it.
  */
 package beechseam.fleet.model;
