--- a/src/main/java/beechseam/fleet/membership/StateExchanger.java
+++ b/src/main/java/beechseam/fleet/membership/StateExchanger.java
@@ -13,7 +13,7 @@
  * the other dead, and these exchanges reconnect them. An exchange costs O(n).
  */
 final class StateExchanger {
-    /** Fleet size above which the interval grows with the logarithm of the size; up to it the configured interval applies. */
+    /** Largest fleet with the configured interval; above it the interval grows with the logarithm of the size. */
     private static final double SCALING_THRESHOLD = 32;
 
     private final LocalNode local;
--- a/src/test/java/beechseam/fleet/membership/AwarenessTest.java
+++ b/src/test/java/beechseam/fleet/membership/AwarenessTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bounds and effect of the local health score. */
+/** Tests the bounds of the local health score and its effect on time-outs. */
 class AwarenessTest {
     @Test
     void scoreStaysWithinItsBoundsAndScalesTimeouts() {
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void timeoutsAreNotScaledWhereLocalHealthIsOff() {
+    void timeoutsAreNotScaledIfLocalHealthIsDisabled() {
         Awareness awareness = new Awareness(false);
         awareness.adjust(5);
         assertEquals(10, awareness.scale(10));
--- a/src/test/java/beechseam/fleet/membership/FailureDetectorTest.java
+++ b/src/test/java/beechseam/fleet/membership/FailureDetectorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One probe of one member with two others, message by message. */
+/** Tests one probe, message by message: a member probes one of two others and can use the second as a helper. */
 class FailureDetectorTest {
     private static final MembershipOptions OPTIONS = MembershipOptions.defaults(List.of());
 
@@ -38,10 +38,12 @@
         }
     };
     private final Membership membership = new Membership(member("local"), OPTIONS, 0, 1, host);
-    /** When the first probe was sent, and to whom. */
+    /** When the first probe was sent. */
     private long probedAtNs;
 
+    /** Name of the probed member. */
     private String target;
+
     private long sequence;
 
     private static Member member(String name) {
@@ -52,16 +54,16 @@
     void sendFirstProbe() {
         membership.start(0);
         membership.receive(0, "first", "first:1", new Gossip(List.of(member("first"), member("second"))));
-        while (sentOf(Ping.class).isEmpty()) {
+        while (sentOfType(Ping.class).isEmpty()) {
             probedAtNs = membership.nextDueNs();
             membership.advance(probedAtNs);
         }
-        Sent ping = sentOf(Ping.class).get(0);
+        Sent ping = sentOfType(Ping.class).get(0);
         target = ping.receiver;
         sequence = ((Ping) ping.message).sequence();
     }
 
-    private List<Sent> sentOf(Class<? extends Message> type) {
+    private List<Sent> sentOfType(Class<? extends Message> type) {
         return sent.stream().filter(each -> type.isInstance(each.message)).toList();
     }
 
@@ -71,6 +73,7 @@
         }
     }
 
+    /** Name of the member that is not probed. */
     private String helper() {
         return target.equals("first") ? "second" : "first";
     }
@@ -79,7 +82,7 @@
     void ackInTimeEndsTheProbeWithoutIndirectPings() {
         membership.receive(probedAtNs + 1, target, target + ":1", new Ack(sequence, List.of()));
         runUntil(probedAtNs + OPTIONS.probeIntervalNs() - 1);
-        assertEquals(List.of(), sentOf(PingRequest.class));
+        assertEquals(List.of(), sentOfType(PingRequest.class));
         assertEquals(MemberStatus.ALIVE, membership.member(target).status());
         assertEquals(0, membership.metrics().failedProbes());
         assertEquals(0, membership.localHealth());
@@ -88,10 +91,10 @@
     @Test
     void indirectPingIsSentAfterTheTimeoutAndItsAckEndsTheProbe() {
         runUntil(probedAtNs + OPTIONS.probeTimeoutNs() - 1);
-        assertEquals(List.of(), sentOf(PingRequest.class));
+        assertEquals(List.of(), sentOfType(PingRequest.class));
         runUntil(probedAtNs + OPTIONS.probeTimeoutNs());
-        assertEquals(1, sentOf(PingRequest.class).size());
-        assertEquals(helper(), sentOf(PingRequest.class).get(0).receiver);
+        assertEquals(1, sentOfType(PingRequest.class).size());
+        assertEquals(helper(), sentOfType(PingRequest.class).get(0).receiver);
         membership.receive(
                 probedAtNs + OPTIONS.probeTimeoutNs() + 1, helper(), helper() + ":1", new Ack(sequence, List.of()));
         runUntil(probedAtNs + OPTIONS.probeIntervalNs() - 1);
@@ -99,7 +102,7 @@
     }
 
     @Test
-    void nackKeepsLocalHealthAndTheTargetIsSuspected() {
+    void nackKeepsLocalHealthScoreAndTargetIsSuspected() {
         runUntil(probedAtNs + OPTIONS.probeTimeoutNs());
         membership.receive(
                 probedAtNs + OPTIONS.probeTimeoutNs() + 1, helper(), helper() + ":1", new Nack(sequence, List.of()));
@@ -114,7 +117,7 @@
     }
 
     @Test
-    void missingNackLowersLocalHealth() {
+    void missingNackRaisesLocalHealthScore() {
         runUntil(probedAtNs + OPTIONS.probeIntervalNs() - 1);
         assertEquals(MemberStatus.SUSPECT, membership.member(target).status());
         assertEquals(1, membership.localHealth());
--- a/src/test/java/beechseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/beechseam/fleet/membership/MembershipTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** The membership protocol in a {@link VirtualFleet}, each test with one kind of fault. */
+/** Tests the membership protocol in a {@link VirtualFleet}. Most tests inject one kind of fault. */
 class MembershipTest {
     private static final long SECOND_NS = MembershipOptions.SECOND_NS;
     private final List<String> changes = new ArrayList<>();
@@ -23,14 +23,14 @@
         fleet.setListener(
                 (observer, before, after, reason) -> changes.add(observer + " " + after.name() + " " + after.status()));
         fleet.startAll(nodes);
-        assertTrue(fleet.runUntil(60 * SECOND_NS, fleet::hasConverged), "all join");
+        assertTrue(fleet.runUntil(60 * SECOND_NS, fleet::hasConverged), "not all members joined");
         fleet.run(10 * SECOND_NS);
         changes.clear();
         return fleet;
     }
 
-    private long countChanges(String part) {
-        return changes.stream().filter(each -> each.contains(part)).count();
+    private long countChanges(String text) {
+        return changes.stream().filter(change -> change.contains(text)).count();
     }
 
     @Test
@@ -38,9 +38,11 @@
         VirtualFleet fleet = startConvergedFleet(10, 1);
         fleet.kill(7);
         assertTrue(
-                fleet.runUntil(60 * SECOND_NS, () -> countChanges("node-7 DEAD") == 9), "all hold it dead: " + changes);
+                fleet.runUntil(60 * SECOND_NS, () -> countChanges("node-7 DEAD") == 9),
+                "not all other members confirmed the death: " + changes);
         fleet.run(60 * SECOND_NS);
-        assertEquals(9, countChanges("DEAD"), "and nobody else, and each says so once");
+        assertEquals(
+                9, countChanges("DEAD"), "each other member must report the death exactly once, and no other death");
         assertTrue(fleet.hasConverged());
     }
 
@@ -49,7 +51,8 @@
         VirtualFleet fleet = startConvergedFleet(6, 2);
         fleet.setNetwork((from, to) -> !(from == 1 && to == 2));
         fleet.run(300 * SECOND_NS);
-        assertEquals(0, countChanges("DEAD"), "others ask for the one that does not hear: " + changes);
+        assertEquals(
+                0, countChanges("DEAD"), "indirect pings must reach the member that loses direct pings: " + changes);
         assertTrue(fleet.hasConverged());
     }
 
@@ -65,9 +68,9 @@
             assertEquals(
                     0,
                     changes.stream()
-                            .filter(c -> c.startsWith("4 ") && c.endsWith("DEAD"))
+                            .filter(change -> change.startsWith("4 ") && change.endsWith("DEAD"))
                             .count(),
-                    "it heard nothing because it slept: " + changes);
+                    "a paused process must not confirm deaths of others: " + changes);
         }
     }
 
@@ -82,7 +85,7 @@
         fleet.setNetwork((from, to) -> true);
         assertTrue(
                 fleet.runUntil(180 * SECOND_NS, fleet::hasConverged),
-                "one again: " + fleet.membership(0).members());
+                "the partition has not healed: " + fleet.membership(0).members());
     }
 
     @Test
@@ -95,7 +98,7 @@
         assertTrue(fleet.runUntil(30 * SECOND_NS, fleet::hasConverged));
         assertEquals(0, countChanges("node-3 DEAD"));
         for (int i = 0; i < 6; i++) {
-            assertEquals(2, fleet.membership(i).member("node-3").epoch(), "at " + i);
+            assertEquals(2, fleet.membership(i).member("node-3").epoch(), "at node " + i);
             assertNotEquals(before, fleet.membership(i).member("node-3").processId());
         }
     }
@@ -107,12 +110,12 @@
             fleet.kill(i);
         }
         fleet.run(SECOND_NS);
-        for (int i = 0; i < 8; i++) { // 90 has never been, 1 comes back last
+        for (int i = 0; i < 8; i++) { // seed 90 never existed, and seed 1 restarts last
             int node = i;
             fleet.after(i == 1 ? 3 * SECOND_NS : i * SECOND_NS / 10, () -> fleet.start(node, "node-" + node, 90, 1, 4));
         }
         fleet.run(4 * SECOND_NS);
-        assertTrue(fleet.runUntil(90 * SECOND_NS, fleet::hasConverged), "all find each other");
+        assertTrue(fleet.runUntil(90 * SECOND_NS, fleet::hasConverged), "the restarted members did not converge");
     }
 
     @Test
@@ -122,12 +125,13 @@
         fleet.run(20 * SECOND_NS);
         assertEquals(MembershipPhase.REJECTED, fleet.membership(20).phase());
         assertTrue(fleet.rejection(20).contains("node-2") && fleet.rejection(20).contains("n2"), fleet.rejection(20));
-        assertEquals(MembershipPhase.MEMBER, fleet.membership(2).phase(), "who has it keeps it");
+        assertEquals(MembershipPhase.MEMBER, fleet.membership(2).phase(), "the holder must keep its name");
         fleet.kill(2);
         fleet.run(40 * SECOND_NS);
         fleet.start(21, "node-2", 0, 1);
         fleet.run(20 * SECOND_NS);
-        assertEquals(MembershipPhase.MEMBER, fleet.membership(21).phase(), "the name of the dead is free");
+        assertEquals(
+                MembershipPhase.MEMBER, fleet.membership(21).phase(), "the name of a dead member must be available");
     }
 
     @Test
@@ -137,13 +141,17 @@
         fleet.run(60 * SECOND_NS);
         fleet.start(20, "node-5", 0, 1);
         fleet.run(30 * SECOND_NS);
-        assertEquals(MembershipPhase.MEMBER, fleet.membership(20).phase(), "on its side the name was dead");
+        assertEquals(
+                MembershipPhase.MEMBER,
+                fleet.membership(20).phase(),
+                "on its side of the partition the name's holder is dead");
         fleet.setNetwork((from, to) -> true);
         fleet.run(180 * SECOND_NS);
         assertEquals(
                 MembershipPhase.REJECTED,
                 fleet.membership(5).phase(),
-                "the later life holds: " + fleet.membership(5).self());
+                "the process with the higher epoch must keep the name: "
+                        + fleet.membership(5).self());
         assertEquals(MembershipPhase.MEMBER, fleet.membership(20).phase());
     }
 
@@ -159,7 +167,8 @@
         fleet.kill(4);
         fleet.run(60 * SECOND_NS);
         for (int i = 0; i < 4; i++) {
-            assertEquals(MemberStatus.LEFT, fleet.membership(i).member("node-4").status(), "at " + i + ": " + changes);
+            assertEquals(
+                    MemberStatus.LEFT, fleet.membership(i).member("node-4").status(), "at node " + i + ": " + changes);
         }
     }
 
@@ -174,26 +183,29 @@
 
     @Test
     void localHealthReducesFalseSuspicionsByDegradedMembers() {
-        long[] accused = {0, 0};
+        long[] falseSuspicions = {0, 0};
         for (int i = 0; i < 2; i++) {
             MembershipOptions options = MembershipOptions.defaults(List.of()).withLocalHealth(i == 0);
             VirtualFleet fleet = new VirtualFleet(options, 11);
             fleet.startAll(12);
             fleet.run(40 * SECOND_NS);
-            int which = i;
+            int variant = i;
             fleet.setListener((observer, before, after, reason) -> {
-                boolean slow = after.name().equals("node-3") || after.name().equals("node-7");
-                accused[which] += after.status() == MemberStatus.SUSPECT && !slow ? 1 : 0;
+                boolean degraded = after.name().equals("node-3") || after.name().equals("node-7");
+                falseSuspicions[variant] += after.status() == MemberStatus.SUSPECT && !degraded ? 1 : 0;
             });
-            Random lost = new Random(5); // two hear and are heard badly, the rest is well
-            fleet.setNetwork((from, to) -> from != 3 && to != 3 && from != 7 && to != 7 || lost.nextDouble() < 0.35);
+            Random delivery = new Random(5); // both directions of nodes 3 and 7 lose messages; other links work
+            fleet.setNetwork(
+                    (from, to) -> from != 3 && to != 3 && from != 7 && to != 7 || delivery.nextDouble() < 0.35);
             fleet.run(600 * SECOND_NS);
         }
-        assertTrue(accused[1] > 20 && accused[0] * 2 < accused[1], accused[0] + ", without " + accused[1]);
+        assertTrue(
+                falseSuspicions[1] > 20 && falseSuspicions[0] * 2 < falseSuspicions[1],
+                "false suspicions: " + falseSuspicions[0] + " with local health, " + falseSuspicions[1] + " without");
     }
 
     @Test
-    void sameSeedGivesSameHistory() {
+    void sameSeedGivesSameChanges() {
         List<List<String>> histories = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             VirtualFleet fleet = new VirtualFleet(MembershipOptions.defaults(List.of()), 12);
@@ -210,7 +222,7 @@
         assertEquals(histories.get(0), histories.get(1));
     }
 
-    /** Random faults of all kinds; when they end all agree, and the view numbers never fell. */
+    /** Injects random faults of all kinds. View versions never decrease, and all members agree after the faults end. */
     @Property(tries = 40)
     void convergesAfterRandomFaults(
             @ForAll @LongRange(min = 1, max = 1 << 30) long seed, @ForAll @IntRange(min = 3, max = 9) int nodes) {
@@ -279,10 +291,15 @@
         assertTrue(member.withStatus(MemberStatus.SUSPECT, "b").supersedes(member));
         assertTrue(member.withStatus(MemberStatus.DEAD, "b").supersedes(member.withStatus(MemberStatus.SUSPECT, "b")));
         assertTrue(
-                member.refuted(4).supersedes(member.withStatus(MemberStatus.DEAD, "b")), "it may contradict its death");
-        assertFalse(member.refuted(9).supersedes(member.withStatus(MemberStatus.LEFT, "")), "but not that it has left");
+                member.refuted(4).supersedes(member.withStatus(MemberStatus.DEAD, "b")),
+                "a member may refute its death");
+        assertFalse(
+                member.refuted(9).supersedes(member.withStatus(MemberStatus.LEFT, "")),
+                "a member may not refute its departure");
         assertFalse(member.supersedes(member));
         assertTrue(new Member("a", "x:1", 3, 9, 1, MemberStatus.ALIVE, "", Map.of()).supersedes(member));
-        assertTrue(new Member("a", "x:1", 2, 4, 1, MemberStatus.ALIVE, "", Map.of()).supersedes(member), "one of two");
+        assertTrue(
+                new Member("a", "x:1", 2, 4, 1, MemberStatus.ALIVE, "", Map.of()).supersedes(member),
+                "the lower process id wins");
     }
 }
--- a/src/test/java/beechseam/fleet/membership/ProbeRoundTest.java
+++ b/src/test/java/beechseam/fleet/membership/ProbeRoundTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each member that is up is probed once a round. */
+/** Tests that each member that is up is probed once per round, and members that are down are not probed. */
 class ProbeRoundTest {
     private static final int MEMBERS = 20;
 
--- a/src/test/java/beechseam/fleet/membership/SuspicionTest.java
+++ b/src/test/java/beechseam/fleet/membership/SuspicionTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The time-out of a suspicion, by Lifeguard's formula. */
+/** Tests the time-out of a suspicion, which follows Lifeguard's formula. */
 class SuspicionTest {
     private static final long STARTED_NS = 100;
     private static final long MIN_TIMEOUT_NS = 1_000;
@@ -38,14 +38,15 @@
     void confirmationsShortenTheTimeoutByTheLogarithmOfTheirNumber() {
         Suspicion suspicion = start(EXPECTED_CONFIRMATIONS, MAX_TIMEOUT_NS);
         assertTrue(suspicion.confirm("second", timers));
-        assertEquals(STARTED_NS + 3_500, suspicion.deadlineNs(), "log 2 / log 4 is half the way to the minimum");
+        assertEquals(
+                STARTED_NS + 3_500, suspicion.deadlineNs(), "log 2 / log 4 = 1/2 of the way from maximum to minimum");
         assertEquals(STARTED_NS + 3_500, timers.nextDueNs());
         assertTrue(suspicion.confirm("third", timers));
-        assertEquals(STARTED_NS + 2_037, suspicion.deadlineNs(), "log 3 / log 4 of the way");
+        assertEquals(STARTED_NS + 2_037, suspicion.deadlineNs(), "log 3 / log 4 of the way from maximum to minimum");
         assertTrue(suspicion.confirm("fourth", timers));
         assertEquals(STARTED_NS + MIN_TIMEOUT_NS, suspicion.deadlineNs());
         runUntil(STARTED_NS + MAX_TIMEOUT_NS);
-        assertEquals(1, timeouts, "the earlier deadlines are cancelled");
+        assertEquals(1, timeouts, "the earlier deadlines must be cancelled");
     }
 
     @Test
@@ -58,7 +59,7 @@
     }
 
     @Test
-    void confirmationAfterTheShortenedDeadlineTimesOutAtOnce() {
+    void confirmationAfterTheShortenedDeadlineTimesOutImmediately() {
         Suspicion suspicion = start(1, MAX_TIMEOUT_NS);
         runUntil(STARTED_NS + 4_000);
         assertTrue(suspicion.confirm("second", timers));
@@ -71,7 +72,10 @@
         suspicion.extend(500, STARTED_NS + 2_000, timers);
         assertEquals(STARTED_NS + MAX_TIMEOUT_NS + 500, timers.nextDueNs());
         suspicion.extend(9_000, STARTED_NS + 12_000, timers);
-        assertEquals(STARTED_NS + 12_000 + 9_000, timers.nextDueNs(), "not before as long after the pause");
+        assertEquals(
+                STARTED_NS + 12_000 + 9_000,
+                timers.nextDueNs(),
+                "at least the length of the pause remains after the pause");
     }
 
     @Test
--- a/src/test/java/beechseam/fleet/membership/TimersTest.java
+++ b/src/test/java/beechseam/fleet/membership/TimersTest.java
@@ -6,37 +6,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Order of scheduled tasks. */
+/** Tests the order in which scheduled tasks run, cancellation and rescheduling. */
 class TimersTest {
     private final Timers timers = new Timers(0);
-    private final List<String> ran = new ArrayList<>();
+    private final List<String> completed = new ArrayList<>();
 
     @Test
-    void tasksOfOneTimeRunInTheOrderOfScheduling() {
-        timers.at(5, () -> ran.add("second"));
-        timers.at(3, () -> ran.add("first"));
+    void tasksDueAtTheSameTimeRunInSchedulingOrder() {
+        timers.at(5, () -> completed.add("second"));
+        timers.at(3, () -> completed.add("first"));
         timers.at(5, () -> {
-            ran.add("third");
-            timers.after(0, () -> ran.add("fourth"));
+            completed.add("third");
+            timers.after(0, () -> completed.add("fourth"));
         });
-        timers.at(6, () -> ran.add("later"));
+        timers.at(6, () -> completed.add("later"));
         timers.advanceTo(5);
         timers.runDue();
-        assertEquals(List.of("first", "second", "third", "fourth"), ran);
+        assertEquals(List.of("first", "second", "third", "fourth"), completed);
         assertEquals(6, timers.nextDueNs());
     }
 
     @Test
     void cancelledAndRescheduledTasksDoNotRunAtTheirOldTime() {
-        timers.at(1, () -> ran.add("cancelled")).cancel();
-        timers.reschedule(timers.at(2, () -> ran.add("moved")), 4);
+        timers.at(1, () -> completed.add("cancelled")).cancel();
+        timers.reschedule(timers.at(2, () -> completed.add("moved")), 4);
         assertEquals(4, timers.nextDueNs());
         timers.advanceTo(3);
         timers.runDue();
-        assertEquals(List.of(), ran);
+        assertEquals(List.of(), completed);
         timers.advanceTo(4);
         timers.runDue();
-        assertEquals(List.of("moved"), ran);
+        assertEquals(List.of("moved"), completed);
         assertEquals(Long.MAX_VALUE, timers.nextDueNs());
     }
 }
--- a/src/test/java/beechseam/fleet/membership/UpdateQueueTest.java
+++ b/src/test/java/beechseam/fleet/membership/UpdateQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Order, size and retransmission of gossip updates. */
+/** Tests the order, size limit and retransmit limit of queued gossip updates. */
 class UpdateQueueTest {
     private static final int UNLIMITED_BYTES = 1_000_000;
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void newestOfThoseSentLeastOftenComesFirst() {
+    void leastSentUpdatesComeFirstAndNewestAmongEqualCounts() {
         enqueue("a");
         enqueue("b");
         assertEquals(List.of("b", "a"), take(UNLIMITED_BYTES, 9));
@@ -35,7 +35,8 @@
         assertEquals(List.of("c"), take(1, 9));
         enqueue("d");
         assertEquals(List.of("d", "c", "b", "a"), take(UNLIMITED_BYTES, 9));
-        assertEquals(List.of("d", "c", "b", "a"), take(UNLIMITED_BYTES, 9), "sent 1, 2, 2 and 2 times");
+        assertEquals(
+                List.of("d", "c", "b", "a"), take(UNLIMITED_BYTES, 9), "they were sent 1, 2, 2 and 2 times before");
     }
 
     @Test
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void newUpdateReplacesTheWaitingOneOfItsMember() {
+    void newUpdateReplacesQueuedUpdateOfSameMember() {
         MemberEntry entry = enqueue("a");
         take(UNLIMITED_BYTES, 9);
         Member suspect = member("a").withStatus(MemberStatus.SUSPECT, "b");
