--- a/src/main/java/beechseam/gearman/Admin.java
+++ b/src/main/java/beechseam/gearman/Admin.java
@@ -8,11 +8,12 @@
 import java.util.List;
 
 /**
- * The admin lines: those of the published list, and of our own {@code counters}, {@code drain} and
- * {@code undrain}. An answer is one line that begins with OK or ERR, or lines that end with one of a dot.
+ * Executes admin commands: those of the Gearman protocol, and the extensions {@code counters}, {@code drain} and
+ * {@code undrain}. A response is one line that starts with OK or ERR, a line of JSON, or several lines followed by
+ * a line with a single dot.
  */
 final class Admin {
-    private static final String END = ".\n";
+    private static final String END_OF_LIST = ".\n";
     private static final String OK = "OK\n";
     private final GearmanServer server;
 
@@ -20,9 +21,9 @@
         this.server = server;
     }
 
-    void answer(String line, GearmanConnection to) {
-        if (!line.isEmpty()) { // an empty one is somebody's second line end
-            to.write(ByteBuffer.wrap(answer(line).getBytes(StandardCharsets.UTF_8)));
+    void answer(String line, GearmanConnection operator) {
+        if (!line.isEmpty()) { // an empty line, such as a doubled line end, gets no answer
+            operator.write(ByteBuffer.wrap(answer(line).getBytes(StandardCharsets.UTF_8)));
         }
     }
 
@@ -63,9 +64,9 @@
         return Level.ERROR.name();
     }
 
-    /** Blanks are plus signs in the published form of errors. */
-    private static String error(String code, String why) {
-        return "ERR " + code + " " + why.replace(' ', '+') + "\n";
+    /** Formats an error; the protocol writes spaces in the message as plus signs. */
+    private static String error(String code, String message) {
+        return "ERR " + code + " " + message.replace(' ', '+') + "\n";
     }
 
     private static String incomplete() {
@@ -90,7 +91,7 @@
                     .append(function.workers.groups.memberCount())
                     .append('\n');
         }
-        return lines.append(END).toString();
+        return lines.append(END_OF_LIST).toString();
     }
 
     private String priorityStatus() {
@@ -98,13 +99,13 @@
         for (GearmanFunction function : sorted()) {
             lines.append(function.name);
             for (int priority = 0; priority < GearmanFunction.PRIORITIES; priority++) {
-                // Those that wait for the clock are normal ones.
-                int later = priority == 1 ? function.delayed.size() : 0;
-                lines.append('\t').append(function.queues.queuedJobs(priority) + later);
+                // Delayed jobs have normal priority.
+                int delayedJobs = priority == 1 ? function.delayed.size() : 0;
+                lines.append('\t').append(function.queues.queuedJobs(priority) + delayedJobs);
             }
             lines.append('\t').append(function.workers.groups.memberCount()).append('\n');
         }
-        return lines.append(END).toString();
+        return lines.append(END_OF_LIST).toString();
     }
 
     private String workers() {
@@ -122,10 +123,13 @@
             }
             lines.append('\n');
         }
-        return lines.append(END).toString();
+        return lines.append(END_OF_LIST).toString();
     }
 
-    /** Of a function, one bound for each priority or one for all; none, or below 1: no bound. */
+    /**
+     * Sets the queue limits of a function, one for each priority or one for all. A missing value or one below 1
+     * removes the limit.
+     */
     private String maxQueue(String[] words) {
         if (words.length < 2) {
             return incomplete();
@@ -134,15 +138,15 @@
         for (int i = 0; i < limits.length; i++) {
             String word = words.length == 2 ? "0" : words.length < 5 ? words[2] : words[2 + i];
             try {
-                int bound = Integer.parseInt(word);
-                limits[i] = bound < 1 ? Integer.MAX_VALUE : bound;
+                int limit = Integer.parseInt(word);
+                limits[i] = limit < 1 ? Integer.MAX_VALUE : limit;
             } catch (NumberFormatException e) {
                 return error("INVALID_ARGUMENTS", "a bound must be a whole number");
             }
         }
         GearmanFunction function = server.find(words[1]);
         if (function == null) {
-            return OK; // as published: a function that is not there has no queue to bound
+            return OK; // the protocol answers OK for a function that does not exist
         }
         for (int priority = 0; priority < limits.length; priority++) {
             function.queues.setLimit(priority, limits[priority]);
@@ -170,23 +174,23 @@
         if (function == null) {
             return "ERR function not found\n";
         }
-        if (!function.unused()) { // and it stays, also once they have gone
+        if (!function.unused()) { // a rejected drop has no effect later, when they disconnect
             return "ERR there are still connected workers or executing clients\n";
         }
-        server.forget(function);
+        server.removeFunction(function);
         return OK;
     }
 
     private String show(String[] words) {
         if (words.length == 2 && words[1].equals("jobs")) {
             StringBuilder lines = new StringBuilder();
-            for (GearmanJob job : server.jobs.all()) { // handle, retries, ignored, waiting
+            for (GearmanJob job : server.jobs.all()) { // columns: handle, retries, ignored, waiting
                 lines.append(job.handle())
                         .append("\t0\t0\t")
                         .append(job.running() ? 0 : 1)
                         .append('\n');
             }
-            return lines.append(END).toString();
+            return lines.append(END_OF_LIST).toString();
         }
         if (words.length == 3 && words[1].equals("unique") && words[2].equals("jobs")) {
             StringBuilder lines = new StringBuilder();
@@ -195,12 +199,12 @@
                     lines.append(job.unique).append('\n');
                 }
             }
-            return lines.append(END).toString();
+            return lines.append(END_OF_LIST).toString();
         }
         return error("UNKNOWN_SHOW_ARGUMENTS", "jobs, or unique jobs");
     }
 
-    /** Only what has not begun: what runs may have had its effect already. */
+    /** Cancels a job that no worker has started; a running job may already have had its side effects. */
     private String cancel(String[] words) {
         if (words.length != 3 || !words[1].equals("job")) {
             return incomplete();
--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -14,22 +14,23 @@
 import java.util.Set;
 
 /**
- * The client's side of a connection: what it submits, asks and waits for. Queues are fair among such sessions.
+ * The client side of a connection. It submits jobs, answers status requests, and tracks the jobs that the client
+ * waits for. The queues are fair among these sessions.
  */
 final class ClientSession {
     private static final int MAX_NAME_CHARS = 512;
     private static final int MAX_UNIQUE_BYTES = 1024;
-    /** Epochs further off are a mistake, such as milliseconds in place of seconds. */
+    /** A due time further ahead is treated as an error, such as milliseconds in place of seconds. */
     private static final long MAX_AHEAD_S = 10L * 365 * 24 * 3600;
 
     private final GearmanServer server;
     private final GearmanConnection connection;
-    /** Jobs whose end it is owed. */
-    private final Set<GearmanJob> waitsFor = new LinkedHashSet<>();
-    /** Jobs that it submitted and that have not ended, waited for or not. */
-    int open;
+    /** Jobs whose final answer this client waits for. */
+    private final Set<GearmanJob> awaitedJobs = new LinkedHashSet<>();
+    /** Number of jobs that this client submitted and that have not ended, in the foreground or background. */
+    int openJobs;
 
-    private boolean exceptions;
+    private boolean exceptionsEnabled;
 
     ClientSession(GearmanServer server, GearmanConnection connection) {
         this.server = server;
@@ -37,7 +38,7 @@
     }
 
     boolean wantsExceptions() {
-        return exceptions;
+        return exceptionsEnabled;
     }
 
     void submit(Packet kind, Arguments args) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** The host's clock at that second; 0 where it is none, and the client has been told. */
+    /** Parses seconds since 1970 into nanoseconds; returns 0 after sending an error if they are invalid. */
     private long epoch(String text) {
         long now = server.loop.now();
         try {
@@ -99,7 +100,7 @@
         }
     }
 
-    /** Whether a name can stand in a line of an admin answer. */
+    /** Whether a function name can be used in a line of an admin answer. */
     static boolean isValidName(String name) {
         return !name.isEmpty()
                 && name.length() <= MAX_NAME_CHARS
@@ -107,13 +108,15 @@
     }
 
     /**
+     * Submits a job, or joins an alive one with the same unique key.
+     *
      * @param workload index of the workload among the arguments
-     * @param dueNs    when it is due, by the host's clock; 0 for now
+     * @param dueNs    due time in nanoseconds of the host's clock; 0 for now
      */
     private void submit(Arguments args, int workload, Mode mode, String reducer, long dueNs) {
         GearmanFunction function = functionFor(args, mode);
         if (function == null) {
-            return; // the client has been told why
+            return; // the error has been sent
         }
         String unique = args.text(1);
         Object key = unique.equals("-") ? Jobs.key(unique, args.bytes(workload)) : Jobs.key(unique, null);
@@ -127,9 +130,9 @@
         }
         job.background |= mode.background;
         connection.write(Packet.JOB_CREATED.response(job.handle()));
-        // That write may have found the client gone, and all that it waited for has been given up by then.
+        // The write may have closed the connection, and all jobs that the client waited for are then abandoned.
         if (!mode.background && !connection.closed() && job.join(connection)) {
-            waitsFor.add(job);
+            awaitedJobs.add(job);
         }
         if (created && !job.background && job.clientCount() == 0) {
             server.finished(job, Jobs.End.LEFT);
@@ -141,7 +144,7 @@
         }
     }
 
-    /** The function of a submission that is well formed; null otherwise, and the client has been told why. */
+    /** The function of a submission; null, after sending an error, if the submission is invalid. */
     private GearmanFunction functionFor(Arguments args, Mode mode) {
         String name = args.text(0);
         if (!isValidName(name) || args.length(1) > MAX_UNIQUE_BYTES) {
@@ -161,17 +164,17 @@
         return function;
     }
 
-    /** A new job within the bounds; null where it is rejected, and the client has been told why. */
+    /** Creates a job; returns null, after sending an error, if a limit rejects it. */
     private GearmanJob create(
             Arguments args, int workload, GearmanFunction function, Object key, Mode mode, String reducer) {
         if (server.stopping()) {
             connection.error("QUEUE_FULL", "the server is stopping");
             return null;
         }
-        // Bytes of the whole packet where its array is kept, and what the job costs besides.
+        // The array of a long packet is kept and holds workload and key; the overhead covers the rest of the job.
         int charge = Jobs.OVERHEAD + args.length(workload) + args.length(1);
         Rejection rejection = server.admission.check(
-                server.jobs.size(), open, function.queues, mode.ordinal(), charge, server.budget);
+                server.jobs.size(), openJobs, function.queues, mode.ordinal(), charge, server.budget);
         if (rejection != null) {
             connection.error(rejection.code(), rejection.reason());
             return null;
@@ -181,7 +184,7 @@
                 function,
                 new GearmanJob.Submission(args.text(1), key, args.kept(workload), mode, reducer, this, charge));
         server.jobs.add(job);
-        open++;
+        openJobs++;
         function.alive++;
         return job;
     }
@@ -201,26 +204,26 @@
 
     void option(String name) {
         if (name.equalsIgnoreCase("exceptions")) {
-            exceptions = true;
+            exceptionsEnabled = true;
             connection.write(Packet.OPTION_RES.response(name));
         } else {
             connection.error("UNKNOWN_OPTION", "the only option is 'exceptions'");
         }
     }
 
-    /** A job that it waited for has ended. */
-    void ended(GearmanJob job) {
-        waitsFor.remove(job);
+    /** Removes an ended job from those that this client waits for. */
+    void jobEnded(GearmanJob job) {
+        awaitedJobs.remove(job);
     }
 
-    /** The connection is gone: each job loses a client, and one that nobody waits for is given up. */
-    void lost() {
-        for (GearmanJob job : List.copyOf(waitsFor)) {
+    /** Removes this client from its jobs, and abandons each foreground job that no other client waits for. */
+    void connectionLost() {
+        for (GearmanJob job : List.copyOf(awaitedJobs)) {
             job.leave(connection);
             if (job.clientCount() == 0 && !job.background) {
                 server.abandon(job, Jobs.End.LEFT);
             }
         }
-        waitsFor.clear();
+        awaitedJobs.clear();
     }
 }
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -15,23 +15,23 @@
 import java.util.Set;
 
 /**
- * A connection of a client, a worker, both, or an operator who types admin lines. It takes packets and lines
- * off the wire and hands each to the session that it is for. Memory is bounded at both ends: a long packet is
- * read only once there is room for it, and a peer that does not read is not read from, nor are the workers
+ * A connection of a client, a worker, a peer that is both, or an operator who sends admin lines. It decodes packets
+ * and lines and passes each to its session. Memory is bounded in both directions: a long packet is read only once
+ * memory for it is reserved, and reading pauses from a peer that does not read its own data, and from the workers
  * that write to it.
  */
 final class GearmanConnection extends Connection implements PacketDecoder.Owner {
     private static final int MAX_LINE_BYTES = 2048;
-    /** Bodies up to this are taken from the read buffer; longer ones get an array of their own. */
-    static final int IN_PLACE = Buffers.SIZE / 2;
-    /** Unread answers from which on the peer's own requests wait. */
+    /** Bodies up to this size are decoded in the read buffer; a longer one gets an array of its own. */
+    static final int MAX_IN_PLACE_BYTES = Buffers.SIZE / 2;
+    /** Above this many unwritten bytes, the peer's own requests are not read. */
     private static final int MAX_UNREAD_BYTES = 256 * 1024;
-    /** Unread data from which on the worker that writes it waits. */
+    /** Above this many unwritten bytes, the worker that writes them is not read from. */
     static final int THROTTLE_BYTES = 1024 * 1024;
-    /** Cut off for a broken frame, a peer may go on sending so much before its connection is reset. */
+    /** After a malformed frame, a peer may send this much more before its connection is reset. */
     private static final long MAX_DISCARDED_BYTES = 128L * 1024 * 1024;
 
-    /** Workers that wait for this client to read. */
+    /** Workers whose input is paused until this client has read its data. */
     private final Set<GearmanConnection> throttledWriters = new LinkedHashSet<>();
 
     private final GearmanServer server;
@@ -39,20 +39,22 @@
     private final ClientSession session;
     private WorkerSession worker;
     private String clientId = "-";
-    /** Waits for a client of its own to read. */
+    /** Whether input is paused because a client of this worker is far behind in reading. */
     private boolean throttled;
-    /** Waits until there is room for a long packet. */
+    /** Whether input is paused until memory is available for a long packet. */
     private boolean awaitsMemory;
-    /** Room that its unfinished long packet holds: of workloads, or of what goes to clients. */
-    private int reserved;
+    /** Bytes of the memory budget reserved for the long packet being read. */
+    private int reservedBytes;
 
+    /** Whether they are reserved for a job's workload; otherwise for a worker's result. */
     private boolean reservedForJob;
+
     private boolean hasReceived;
 
     GearmanConnection(GearmanServer server, SocketChannel channel) throws IOException {
         super(server.loop, channel, Buffers.SIZE);
         this.server = server;
-        decoder = new PacketDecoder(this, Packet.REQ, server.config.bounds().packet(), IN_PLACE);
+        decoder = new PacketDecoder(this, Packet.REQ, server.config.bounds().packet(), MAX_IN_PLACE_BYTES);
         session = new ClientSession(server, this);
     }
 
@@ -64,12 +66,12 @@
         return clientId;
     }
 
-    /** Null until it has said something that workers say. */
+    /** The worker session; null until the peer has sent a packet that only workers send. */
     WorkerSession worker() {
         return worker;
     }
 
-    /** Whether it has said anything yet. */
+    /** Whether any data has been received on this connection. */
     boolean hasReceived() {
         return hasReceived;
     }
@@ -93,12 +95,12 @@
     protected void received(ByteBuffer in) {
         hasReceived = true;
         boolean more = true;
-        while (more && in.hasRemaining() && !paused()) { // packets and lines may follow each other in any order
-            more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : line(in);
+        while (more && in.hasRemaining() && !paused()) { // packets and lines may be mixed
+            more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : decodeLine(in);
         }
     }
 
-    private boolean line(ByteBuffer in) {
+    private boolean decodeLine(ByteBuffer in) {
         for (int i = in.position(); i < in.limit(); i++) {
             byte c = in.get(i);
             if (c == '\n') {
@@ -136,46 +138,46 @@
 
     @Override
     public PacketDecoder.Verdict longPacket(Packet kind, int size) {
-        boolean job = kind.name().startsWith("SUBMIT_");
-        if (job && !server.budget.reserveWorkload(size)) {
+        boolean submission = kind.name().startsWith("SUBMIT_");
+        if (submission && !server.budget.reserveWorkload(size)) {
             error(
                     "MEMORY_LIMIT",
                     "max_memory_mb: workloads hold " + server.budget.workloadBytes() + " bytes of "
                             + server.budget.maxWorkloadBytes() + ", and this one has " + size);
             return PacketDecoder.Verdict.SKIP;
         }
-        if (!job && !server.budget.reserveResult(size, server.unread())) {
+        if (!submission && !server.budget.reserveResult(size, server.unreadBytes())) {
             awaitsMemory = true;
             server.awaitMemory(this);
             updateReadingPaused();
             return PacketDecoder.Verdict.WAIT;
         }
-        reserved = size;
-        reservedForJob = job;
+        reservedBytes = size;
+        reservedForJob = submission;
         return PacketDecoder.Verdict.TAKE;
     }
 
-    private void release() {
-        if (reserved > 0 && reservedForJob) {
-            server.budget.releaseWorkload(reserved);
-        } else if (reserved > 0) {
-            server.budget.releaseResult(reserved);
+    private void releaseReservation() {
+        if (reservedBytes > 0 && reservedForJob) {
+            server.budget.releaseWorkload(reservedBytes);
+        } else if (reservedBytes > 0) {
+            server.budget.releaseResult(reservedBytes);
         }
-        reserved = 0;
+        reservedBytes = 0;
     }
 
     @Override
     public void packet(Packet kind, Arguments args) {
         if (args == null) {
-            release();
+            releaseReservation();
             error("BAD_ARGUMENTS", kind + " needs " + kind.arguments + " arguments");
             return;
         }
         if (reservedForJob) {
-            release(); // the job takes its own room next
+            releaseReservation(); // the job reserves its own bytes next
         }
         handle(kind, args);
-        release();
+        releaseReservation();
         if (unwritten() > MAX_UNREAD_BYTES) {
             updateReadingPaused();
         }
@@ -200,31 +202,31 @@
             case SET_CLIENT_ID -> setClientId(args.text(0));
             case CAN_DO -> canDo(args.text(0), "0");
             case CAN_DO_TIMEOUT -> canDo(args.text(0), args.text(1));
-            case CANT_DO -> asWorker().cantDo(args.text(0));
-            case RESET_ABILITIES -> asWorker().resetAbilities();
-            case PRE_SLEEP -> asWorker().preSleep();
-            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> asWorker().grabJob(kind);
+            case CANT_DO -> workerSession().cantDo(args.text(0));
+            case RESET_ABILITIES -> workerSession().resetAbilities();
+            case PRE_SLEEP -> workerSession().preSleep();
+            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> workerSession().grabJob(kind);
             case WORK_STATUS, WORK_DATA, WORK_WARNING, WORK_EXCEPTION, WORK_COMPLETE, WORK_FAIL ->
-                asWorker().work(kind, args);
-            case ALL_YOURS -> asWorker(); // a promise to serve nobody else, which needs no answer
+                workerSession().work(kind, args);
+            case ALL_YOURS -> workerSession(); // the worker uses only this server; no answer is needed
             default -> error("UNKNOWN_COMMAND", kind + " is for a job server to say");
         }
     }
 
     private void echo(Arguments args) {
         ByteBuffer data = args.kept(0);
-        if (data.remaining() > IN_PLACE) {
+        if (data.remaining() > MAX_IN_PLACE_BYTES) {
             write(Packet.ECHO_RES.responseBefore(data.remaining()), data);
         } else {
             write(Packet.ECHO_RES.response(args.bytes(0)));
         }
     }
 
-    /** Without blanks, since it stands in lines of admin answers. */
+    /** Sets the client id, with whitespace and control characters replaced: admin answers contain it. */
     private void setClientId(String text) {
         clientId = text.replaceAll("[\\s\\p{Cntrl}]", "_");
         if (worker != null) {
-            worker.renamed();
+            worker.clientIdChanged();
         }
     }
 
@@ -234,11 +236,11 @@
         } else if (!ClientSession.isValidName(function)) {
             error("BAD_ARGUMENTS", "no name for a function");
         } else {
-            asWorker().canDo(function, Integer.parseInt(seconds));
+            workerSession().canDo(function, Integer.parseInt(seconds));
         }
     }
 
-    private WorkerSession asWorker() {
+    private WorkerSession workerSession() {
         if (worker == null) {
             worker = server.newWorker(this);
         }
@@ -250,7 +252,7 @@
         write(Packet.ERROR.response(code, message));
     }
 
-    /** A worker has written to this client: it waits if that is far behind in reading. */
+    /** Pauses reading from a worker that writes to this client if the client is far behind in reading. */
     void throttle(GearmanConnection writer) {
         if (unwritten() > THROTTLE_BYTES && writer != this && !closed()) {
             writer.throttled = true;
@@ -259,13 +261,13 @@
         }
     }
 
-    /** There may be room now for the long packet that waits. */
+    /** Resumes reading, since memory may be available for the long packet that waits for it. */
     void retry() {
         awaitsMemory = false;
         updateReadingPaused();
     }
 
-    /** Whether input is read, by all that may speak against it. */
+    /** Pauses or resumes reading according to all reasons to pause. */
     private void updateReadingPaused() {
         pauseReading(throttled || awaitsMemory || unwritten() > MAX_UNREAD_BYTES);
     }
@@ -287,26 +289,26 @@
         }
     }
 
-    /** A peer that stops within a packet, or takes nothing that is written, is cut off; idle ones stay. */
+    /** Closes a connection that stalls within a packet or does not read its output; an idle one stays open. */
     void sweep(long now, long stallNs) {
-        boolean within = (hasUnused() || decoder.within()) && !readingPaused();
-        if ((within || unwritten() > 0 || ending()) && now - lastActivity() > stallNs) {
+        boolean incompleteInput = (hasUnused() || decoder.within()) && !readingPaused();
+        if ((incompleteInput || unwritten() > 0 || ending()) && now - lastActivity() > stallNs) {
             close();
         }
     }
 
     @Override
     protected void lost(IOException why) {
-        // Both ends of a connection's life come by released().
+        // released() is called for either way of closing and does the cleanup.
     }
 
     @Override
     protected void released() {
-        release();
+        releaseReservation();
         releaseThrottled();
-        session.lost();
+        session.connectionLost();
         if (worker != null) {
-            worker.lost();
+            worker.connectionLost();
         }
         server.connectionReleased(this);
     }
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -23,13 +23,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A Gearman job server: joins connections, functions and jobs, and bounds what is held of each. */
+/** A Gearman job server. It owns the connections, functions and jobs, and enforces the limits on each of them. */
 public final class GearmanServer {
     private static final Logger LOG = System.getLogger(GearmanServer.class.getName());
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
     /**
-     * A function that nobody has asked for so long costs nothing any more; one with no worker either is
-     * forgotten.
+     * A function without jobs for this long is suspended. If it has no workers either, and is not pinned, it is
+     * removed.
      */
     private static final long IDLE_TIMEOUT_NS = 10_000_000_000L;
 
@@ -41,12 +41,14 @@
     final Admission admission;
     final Admin admin = new Admin(this);
     long badInput;
-    private final Counters retired = new Counters();
+    /** Sum of the counters of removed functions. */
+    private final Counters removedFunctionCounters = new Counters();
+
     private final Listener listener;
     private final Set<GearmanConnection> connections = new LinkedHashSet<>();
     private final Set<GearmanConnection> awaitingMemory = new LinkedHashSet<>();
     private final Map<String, GearmanFunction> functions = new LinkedHashMap<>();
-    /** Functions with waiting jobs. */
+    /** Functions with queued jobs. */
     private final Set<GearmanFunction> backlogged = new LinkedHashSet<>();
 
     private final FunctionArbiter<GearmanFunction> arbiter;
@@ -57,14 +59,14 @@
             sweep();
         }
     };
-    private long lastWorker;
+    private long lastWorkerNumber;
     private final Shutdown shutdown = new Shutdown(this);
 
     /**
-     * Listens at once.
+     * Creates a server and starts to listen.
      *
-     * @param seed of the random draws of its dispatchers
-     * @throws IOException where the address cannot be bound
+     * @param seed seed of the random generators of the dispatchers
+     * @throws IOException if the listen address cannot be bound
      */
     public GearmanServer(EventLoop loop, GearmanConfig config, long seed) throws IOException {
         this.loop = loop;
@@ -78,27 +80,27 @@
                 config.turns().ageingTurn(), config.turns().ageingNs());
         config.functions().keySet().stream()
                 .filter(name -> !name.equals(GearmanConfig.ANY))
-                .forEach(name -> make(name).pinned = true);
+                .forEach(name -> createFunction(name).pinned = true);
         listener = new Listener(loop, config.listen(), this::accept);
         loop.timers.set(sweep, loop.now() + SWEEP_INTERVAL_NS);
         LOG.log(Level.INFO, "job server listening name=" + config.name() + " address=" + listener.address());
     }
 
-    /** Where it listens. */
+    /** The address that the server listens on. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
-    /** What the modules of all functions have been told and have decided, those that are gone included. */
+    /** Sum of the dispatcher counters of all functions, including functions that have been removed. */
     public Counters counters() {
         Counters all = new Counters();
-        all.add(retired);
+        all.add(removedFunctionCounters);
         functions.values().forEach(function -> all.add(function.counters()));
         all.badInput += badInput;
         return all;
     }
 
-    /** How a job was taken and ended, for operators: accepted is alive plus all that ended. */
+    /** Counts of jobs, memory and connections, as JSON: accepted jobs are those alive plus all ended ones. */
     public String figures() {
         StringBuilder json = new StringBuilder("{\"accepted\":")
                 .append(jobs.accepted())
@@ -123,16 +125,14 @@
     }
 
     private void accept(SocketChannel channel) throws IOException {
-        int most = config.bounds().connections();
+        int maxConnections = config.bounds().connections();
         connections.add(new GearmanConnection(this, channel));
-        if (connections.size() >= most && !evictSilent()) {
+        if (connections.size() >= maxConnections && !evictSilent()) {
             listener.accepting(false);
         }
     }
 
-    /**
-     * The oldest that has never said a word makes room: a crowd that opens and says nothing keeps nobody out.
-     */
+    /** Closes the oldest connection that has sent no data, so that silent ones cannot lock out active ones. */
     private boolean evictSilent() {
         for (GearmanConnection each : connections) {
             if (!each.hasReceived()) {
@@ -147,8 +147,8 @@
         return connections;
     }
 
-    /** Bytes that peers have been sent and have not read; O(connections), asked for long packets only. */
-    long unread() {
+    /** Bytes queued for all peers and not yet written. O(connections), so it is called for long packets only. */
+    long unreadBytes() {
         long sum = 0;
         for (GearmanConnection each : connections) {
             sum += each.unwritten();
@@ -168,7 +168,7 @@
         }
     }
 
-    /** A worker has sent data of a job: it waits for clients that are far behind in reading. */
+    /** Stops reading from a worker that sent data of a job while a client of the job is far behind in reading. */
     void throttleForClients(GearmanConnection writer, GearmanJob job) {
         if (job.clientCount() > 0) {
             for (GearmanConnection each : job.clients()) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /** It is being cut off; what it waits for goes on without it. */
+    /** Logs that a connection is being closed for malformed input; releasing it updates its jobs. */
     void connectionRejected(GearmanConnection connection) {
         LOG.log(Level.DEBUG, "connection closed reason=bad_input peer=" + connection.peer());
     }
@@ -198,7 +198,7 @@
         for (GearmanFunction function : new ArrayList<>(functions.values())) {
             function.suspendIfIdle(IDLE_TIMEOUT_NS);
             if (!function.awake() && function.unused() && !function.pinned) {
-                forget(function);
+                removeFunction(function);
             }
         }
         loop.timers.set(sweep, now + SWEEP_INTERVAL_NS);
@@ -213,10 +213,10 @@
     }
 
     /**
-     * The function of a name, made if need be; null where it cannot be, and {@code asker} (if any) is told
-     * why.
+     * The function of a name, created if it does not exist. Returns null if it may not be created, after
+     * sending the error to {@code requester} unless that is null.
      */
-    GearmanFunction function(String name, GearmanConnection asker) {
+    GearmanFunction function(String name, GearmanConnection requester) {
         GearmanFunction function = functions.get(name);
         if (function != null) {
             return function;
@@ -230,25 +230,25 @@
             code = "FUNCTION_LIMIT";
             why = "max_functions: " + functions.size() + " functions are alive, the most that may";
         } else {
-            return make(name);
+            return createFunction(name);
         }
-        if (asker != null) {
-            asker.error(code, why);
+        if (requester != null) {
+            requester.error(code, why);
         }
         return null;
     }
 
-    private GearmanFunction make(String name) {
+    private GearmanFunction createFunction(String name) {
         GearmanFunction function = new GearmanFunction(this, name, config.function(name));
         functions.put(name, function);
         return function;
     }
 
-    /** It stands empty with no worker. */
-    void forget(GearmanFunction function) {
+    /** Removes a function that has neither jobs nor workers, and keeps its counters. */
+    void removeFunction(GearmanFunction function) {
         function.close();
         functions.remove(function.name);
-        retired.add(function.counters());
+        removedFunctionCounters.add(function.counters());
     }
 
     void setBacklogged(GearmanFunction function, boolean backloggedNow) {
@@ -260,7 +260,7 @@
     }
 
     WorkerSession newWorker(GearmanConnection connection) {
-        return new WorkerSession(this, ++lastWorker, connection);
+        return new WorkerSession(this, ++lastWorkerNumber, connection);
     }
 
     Location location(String clientId) {
@@ -273,7 +273,8 @@
     }
 
     /**
-     * Workers of a client id get nothing new from now on, those that connect later included; or may again.
+     * Starts or ends draining for a client id. A drained worker gets no new jobs; this includes workers that
+     * connect later under the same id.
      */
     void drain(String clientId, boolean drain) {
         if (drain) {
@@ -289,7 +290,7 @@
         LOG.log(Level.INFO, (drain ? "workers drained" : "workers undrained") + " client_id=" + clientId);
     }
 
-    /** A worker may have become free: jobs of functions that it can do go before their modules, in turns. */
+    /** Passes queued jobs to their dispatchers while the worker is available; the arbiter selects each function. */
     void feed(WorkerSession worker) {
         while (worker.isAvailable() && !backlogged.isEmpty()) {
             arbiter.beginSelection(loop.now());
@@ -318,36 +319,36 @@
         }
     }
 
-    /** The job has its final answer, or needs none. */
+    /** Records the end of a job whose final answer has been sent, or that needs none. */
     void finished(GearmanJob job, Jobs.End how) {
         if (job.hasEnded()) {
             return;
         }
         job.function.ended(job);
         jobs.end(job, how);
-        job.submitter.open--;
+        job.submitter.openJobs--;
         for (GearmanConnection each : job.clients()) {
-            each.session().ended(job);
+            each.session().jobEnded(job);
         }
         job.finish();
         retryAwaitingMemory();
     }
 
-    /** Nobody needs it any more. */
+    /** Ends a job that no client waits for, without an answer. */
     void abandon(GearmanJob job, Jobs.End how) {
-        giveUp(job, () -> finished(job, how));
+        withdrawAndEnd(job, () -> finished(job, how));
     }
 
-    /** An operator gives it up before it has begun; its clients are told that it failed. */
+    /** Cancels a job on an operator's request before a worker has started it; its clients receive a failure. */
     void cancel(GearmanJob job) {
-        giveUp(job, () -> job.fail(Jobs.End.CANCELLED));
+        withdrawAndEnd(job, () -> job.fail(Jobs.End.CANCELLED));
     }
 
-    /** Takes it out of line, or from the module once its clients have been told. */
-    static void giveUp(GearmanJob job, Runnable answer) {
+    /** Removes a job from its queue and then runs {@code answer}; from the dispatcher in the reverse order. */
+    static void withdrawAndEnd(GearmanJob job, Runnable answer) {
         if (job.stage == GearmanJob.Stage.DISPATCHED) {
             answer.run();
-            if (job.request != null) { // null while the module is just being told of it
+            if (job.request != null) { // null while the job is being submitted to the dispatcher
                 job.function.engine().clientDisconnected(job.request);
             }
         } else {
@@ -360,34 +361,34 @@
         return shutdown.stopping();
     }
 
-    /** What an operator's {@code shutdown} brings about once all has ended. */
+    /** Sets the action that runs when an operator sends the admin command {@code shutdown}. */
     public void onShutDown(Runnable action) {
         shutdown.onRequest(action);
     }
 
-    /** By an admin line; without {@code graceful} nothing is waited for. */
+    /** Handles the admin command {@code shutdown}; without {@code graceful} the server does not wait for jobs. */
     void shutDown(boolean graceful) {
         shutdown.request(graceful);
     }
 
     /**
-     * Answers what clients wait for, at the latest by {@code stop_within_ms}, then calls back. New jobs are
+     * Stops the server. Jobs that clients wait for are answered within {@code stop_within_ms}; new jobs are
      * rejected, and queued background jobs are dropped and counted.
      *
-     * @param done called once on the loop when all is closed
+     * @param done called once on the event loop when all connections are closed
      */
     public void stop(Runnable done) {
         shutdown.stop(done);
     }
 
-    /** No connection is accepted any more, and those open close once all is written. */
+    /** Stops accepting connections, and closes each open one once its pending output is written. */
     void closeWhenWritten() {
         listener.close();
         loop.timers.cancel(sweep);
         List.copyOf(connections).forEach(GearmanConnection::closeWhenWritten);
     }
 
-    /** Closes what is still open. */
+    /** Closes the connections and functions that are still open. */
     void closeNow() {
         List.copyOf(connections).forEach(GearmanConnection::close);
         functions.values().forEach(GearmanFunction::close);
--- a/src/main/java/beechseam/gearman/Shutdown.java
+++ b/src/main/java/beechseam/gearman/Shutdown.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * How a server ends, in two steps: jobs that clients wait for are answered until a deadline, then connections
- * get a moment to read their last answers. Checked by a timer, since both wait for others.
+ * Stops a server in two phases. Jobs that clients wait for may finish until a deadline; then the connections get a
+ * short time to read their last answers. A timer checks the progress, since both phases depend on the peers.
  */
 final class Shutdown {
     private static final Logger LOG = System.getLogger(GearmanServer.class.getName());
     private static final long CHECK_INTERVAL_NS = 20_000_000L;
-    /** Time for the last answers to be read. */
-    private static final long LAST_READ_NS = 1_000_000_000L;
+    /** Time that peers have to read their last answers. */
+    private static final long FINAL_READ_TIMEOUT_NS = 1_000_000_000L;
 
     private final GearmanServer server;
     private boolean stopping;
@@ -31,12 +31,15 @@
         return stopping;
     }
 
-    /** What an operator's request brings about. */
+    /** Sets the action that runs on an operator's shutdown command. */
     void onRequest(Runnable action) {
         onRequest = action;
     }
 
-    /** An operator's request; without {@code graceful} nothing is waited for. */
+    /**
+     * Handles an operator's shutdown command. Without {@code graceful}, the deadline for jobs is only one check
+     * interval away.
+     */
     void request(boolean graceful) {
         LOG.log(Level.INFO, "shutdown requested source=admin graceful=" + graceful);
         if (!graceful) {
@@ -45,7 +48,7 @@
         server.loop.post(onRequest);
     }
 
-    /** Begins, or goes on with, the end; {@code done} is called when all is closed. */
+    /** Starts or continues the shutdown; {@code done} is called when all connections are closed. */
     void stop(Runnable done) {
         if (!stopping) {
             stopping = true;
@@ -60,7 +63,7 @@
         }
         if (server.jobs.size() == 0 && !closing) {
             closing = true;
-            deadlineNs = now + LAST_READ_NS;
+            deadlineNs = now + FINAL_READ_TIMEOUT_NS;
             server.closeWhenWritten();
         }
         if (closing && (server.connections().isEmpty() || now >= deadlineNs)) {
@@ -78,7 +81,10 @@
                 now + CHECK_INTERVAL_NS);
     }
 
-    /** Jobs that nobody waits for and that have not begun; with {@code all}, whatever remains, answered. */
+    /**
+     * Drops queued jobs that no client waits for. With {@code all}, also drops running background jobs, and answers
+     * the clients of the remaining jobs.
+     */
     private void dropJobs(boolean all) {
         Map<String, Integer> dropped = new TreeMap<>();
         for (GearmanJob job : new ArrayList<>(server.jobs.all())) {
@@ -89,10 +95,10 @@
             if (!awaited) {
                 dropped.merge(job.function.name, 1, Integer::sum);
                 server.abandon(job, Jobs.End.LOST);
-            } else if (job.placed) { // it may have run
-                GearmanServer.giveUp(job, () -> job.failed(job.request, "the server is stopping"));
+            } else if (job.placed) { // a worker may have run it
+                GearmanServer.withdrawAndEnd(job, () -> job.failed(job.request, "the server is stopping"));
             } else {
-                GearmanServer.giveUp(
+                GearmanServer.withdrawAndEnd(
                         job, () -> job.shed(job.request, server.config.limits().maxRetryAfterNs()));
             }
         }
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -13,24 +13,24 @@
 import java.util.Map;
 
 /**
- * The worker's side of a connection: what it can do, what it holds, and whether it may be given a job. It is
- * given one only when it asks or, asleep, has been called. A worker that asks while it holds jobs has shown
- * that it can hold more.
+ * The worker side of a connection: its abilities, the jobs that it holds, and whether it is available. A job is
+ * assigned only in answer to a grab; a sleeping worker is first woken with NOOP. A worker that grabs while it holds
+ * jobs shows that it can run more of them at once, so its slot count grows.
  */
 final class WorkerSession {
-    /** Whether it waits for work. */
+    /** State of the worker in the protocol's grab and sleep cycle. */
     enum State {
-        /** It runs something, or has said nothing since it was told NO_JOB. */
+        /** It runs a job, or has sent nothing since it received NO_JOB. */
         BUSY,
-        /** Its request for a job is being answered. */
+        /** Its grab is being answered. */
         GRABBING,
-        /** It has said PRE_SLEEP and may be called with NOOP. */
+        /** It has sent PRE_SLEEP and may be woken with NOOP. */
         ASLEEP,
-        /** It has been called and has not asked yet. */
+        /** It has been sent NOOP and has not grabbed yet. */
         WOKEN
     }
 
-    /** A function that it can do; {@code seconds} that a job may take, 0 for no limit. */
+    /** A function that the worker can run; {@code seconds} is the time limit of a job, 0 for none. */
     private record Ability(GearmanFunction function, Member<WorkerSession> member, int seconds) {}
 
     final long number;
@@ -40,7 +40,7 @@
     private final Map<String, HeldJob> heldJobs = new LinkedHashMap<>();
     private State state = State.BUSY;
     private Location location;
-    private Attempt reserved;
+    private Attempt reservedAttempt;
     private Timer wakeUpTimer;
     private boolean drained;
     private boolean announcedAvailable;
@@ -62,7 +62,7 @@
         return heldJobs.size();
     }
 
-    /** How many jobs it has shown that it can hold at once. */
+    /** The number of jobs that the worker has shown it can run at once. */
     int slots() {
         return slots;
     }
@@ -84,10 +84,10 @@
         return ability == null ? null : ability.member();
     }
 
-    /** Whether it may be given a job now. */
+    /** Whether a job may be assigned or reserved for the worker now. */
     boolean isAvailable() {
         return (state == State.GRABBING || state == State.ASLEEP)
-                && reserved == null
+                && reservedAttempt == null
                 && !drained
                 && heldJobs.size() < server.config.bounds().slots()
                 && !connection.closed();
@@ -95,27 +95,27 @@
 
     void canDo(String name, int seconds) {
         Ability known = abilities.get(name);
-        if (known != null) { // said again: only the limit is new
+        if (known != null) { // a repeated CAN_DO only updates the time limit
             abilities.put(name, new Ability(known.function(), known.member(), seconds));
             return;
         }
         GearmanFunction function = server.function(name, connection);
         if (function == null) {
-            return; // it has been told why
+            return; // the error has been sent
         }
         Member<WorkerSession> member = function.workers.groups.join(this, location);
         abilities.put(name, new Ability(function, member, seconds));
         function.workers.joined(member, this);
     }
 
-    /** Withdrawn: what waits for it goes elsewhere, and nothing new comes. */
+    /** Removes an ability. An attempt reserved for it returns to the dispatcher, and no new jobs are assigned. */
     void cantDo(String name) {
         Ability ability = abilities.remove(name);
         if (ability == null) {
             return;
         }
         ability.function().workers.leave(ability.member());
-        if (reserved != null && GearmanFunction.job(reserved).function == ability.function()) {
+        if (reservedAttempt != null && GearmanFunction.job(reservedAttempt).function == ability.function()) {
             returnReserved(Outcome.NOT_SENT);
         }
     }
@@ -124,28 +124,28 @@
         List.copyOf(abilities.keySet()).forEach(this::cantDo);
     }
 
-    void renamed() {
+    void clientIdChanged() {
         location = server.location(connection.clientId());
         abilities.values().forEach(ability -> ability.function().workers.updateLocation(ability.member(), this));
         drain(server.drained(connection.clientId()));
     }
 
-    /** Gets nothing new from now on, or may again; what it holds it may finish. */
+    /** Starts or ends draining. A drained worker gets no new jobs and may finish those that it holds. */
     void drain(boolean drain) {
         if (drained == drain) {
             return;
         }
         drained = drain;
-        if (drain && reserved != null) {
+        if (drain && reservedAttempt != null) {
             returnReserved(Outcome.NOT_SENT);
         }
         announceAvailability();
         server.feed(this);
     }
 
-    void grabJob(Packet how) {
+    void grabJob(Packet kind) {
         cancelWakeUp();
-        endAbandoned();
+        endAbandonedJobs();
         state = State.GRABBING;
         int maxJobs = server.config.bounds().slots();
         if (heldJobs.size() >= slots && heldJobs.size() < maxJobs) {
@@ -154,23 +154,23 @@
         }
         announceAvailability();
         server.feed(this);
-        if (reserved == null || drained || heldJobs.size() >= maxJobs) {
+        if (reservedAttempt == null || drained || heldJobs.size() >= maxJobs) {
             state = State.BUSY;
             announceAvailability();
             connection.write(Packet.NO_JOB.response());
             return;
         }
-        Attempt attempt = reserved;
-        reserved = null;
+        Attempt attempt = reservedAttempt;
+        reservedAttempt = null;
         state = State.BUSY;
-        assign(attempt, how);
+        assign(attempt, kind);
     }
 
     void preSleep() {
         cancelWakeUp();
-        endAbandoned();
+        endAbandonedJobs();
         state = State.ASLEEP;
-        if (reserved != null) {
+        if (reservedAttempt != null) {
             wakeUp();
             return;
         }
@@ -179,11 +179,11 @@
     }
 
     /**
-     * It asks anew: what it reported an exception for, and no end, has failed. One that may hold a single job
-     * has dropped what it still holds; of one that may hold more nobody can tell, and its limit or the
-     * deadline ends that.
+     * Ends held jobs that the worker has given up, which a new grab or PRE_SLEEP implies. A job with an exception
+     * and no final packet has failed. If workers have a single slot, any job still held is lost. With more slots
+     * the server cannot tell, and the time limit or the deadline ends such a job.
      */
-    private void endAbandoned() {
+    private void endAbandonedJobs() {
         if (heldJobs.isEmpty()) {
             return;
         }
@@ -197,29 +197,29 @@
     }
 
     /**
-     * Tells the functions when it has become free, or no longer is; an attempt may be reserved here before it
-     * returns.
+     * Informs the functions if the worker's availability has changed. An attempt may be reserved for the worker
+     * before this method returns.
      */
     private void announceAvailability() {
-        boolean now = isAvailable();
-        if (now == announcedAvailable) {
+        boolean available = isAvailable();
+        if (available == announcedAvailable) {
             return;
         }
-        announcedAvailable = now;
+        announcedAvailable = available;
         for (Ability ability : abilities.size() < 2 ? abilities.values() : new ArrayList<>(abilities.values())) {
-            if (now && !isAvailable()) {
-                return; // it got one on the way, and all have been told
+            if (available && !isAvailable()) {
+                return; // an attempt was reserved meanwhile, and that call has informed all functions
             }
-            if (now && ability.function().awake()) {
+            if (available && ability.function().awake()) {
                 Attempt waiting = ability.function().workers.takePending(ability.member());
                 if (waiting != null) {
                     reserve(waiting);
                     return;
                 }
             }
-            ability.function().workers.setAvailable(ability.member(), now);
+            ability.function().workers.setAvailable(ability.member(), available);
         }
-        if (now) {
+        if (available) {
             for (Ability ability : abilities.values()) {
                 if (isAvailable() && ability.function().awake()) {
                     ability.function().workers.returnPending();
@@ -234,34 +234,34 @@
         }
     }
 
-    /** The module has placed an attempt here. */
+    /** Reserves an attempt that the dispatcher has placed on this worker, and wakes the worker if it sleeps. */
     void reserve(Attempt attempt) {
-        reserved = attempt;
+        reservedAttempt = attempt;
         attempt.exchange = this;
         announceAvailability();
         wakeUp();
     }
 
-    /** The attempt that waits here is not wanted any more. */
+    /** Removes a reserved attempt that has been cancelled. */
     void cancelReservation(Attempt attempt) {
-        if (reserved == attempt) {
-            reserved = null;
+        if (reservedAttempt == attempt) {
+            reservedAttempt = null;
             announceAvailability();
         }
     }
 
     private void wakeUp() {
         if (state != State.ASLEEP) {
-            return; // it is asking just now
+            return; // it is grabbing already
         }
         state = State.WOKEN;
         connection.write(Packet.NOOP.response());
         wakeUpTimer = new Timer() {
             @Override
-            protected void fire() { // called and not come: what waits for it never ran
+            protected void fire() { // no grab after NOOP: the reserved attempt has not run
                 wakeUpTimer = null;
                 state = State.BUSY;
-                if (reserved != null) {
+                if (reservedAttempt != null) {
                     returnReserved(Outcome.UNREACHABLE);
                 }
             }
@@ -278,8 +278,8 @@
     }
 
     private void returnReserved(Outcome outcome) {
-        Attempt attempt = reserved;
-        reserved = null;
+        Attempt attempt = reservedAttempt;
+        reservedAttempt = null;
         announceAvailability();
         GearmanFunction function = GearmanFunction.job(attempt).function;
         if (outcome == Outcome.NOT_SENT) {
@@ -293,13 +293,13 @@
         }
     }
 
-    private void assign(Attempt attempt, Packet how) {
+    private void assign(Attempt attempt, Packet kind) {
         GearmanJob job = GearmanFunction.job(attempt);
         GearmanFunction function = job.function;
         HeldJob heldJob = new HeldJob(attempt, function, server.loop.now());
         String handle = job.handle();
         HeldJob previous = heldJobs.put(handle, heldJob);
-        if (previous != null) { // a late one of the same job: what it says from now on is of this one
+        if (previous != null) { // an earlier attempt at the job; later packets count for this one
             previous.cancelTimeLimit();
         } else {
             job.runs++;
@@ -307,7 +307,7 @@
         }
         reportLoad();
         attempt.begun();
-        switch (how) {
+        switch (kind) {
             case GRAB_JOB_UNIQ -> job.assignTo(connection, Packet.JOB_ASSIGN_UNIQ, handle, function.name, job.unique);
             case GRAB_JOB_ALL ->
                 job.assignTo(
@@ -326,7 +326,7 @@
         function.engine().attemptStarted(attempt);
     }
 
-    /** Something about a job that it holds. */
+    /** Handles a packet about a job that the worker holds: data, status, or its end. */
     void work(Packet kind, Arguments args) {
         HeldJob heldJob = heldJobs.get(args.text(0));
         if (heldJob == null) {
@@ -361,9 +361,9 @@
         }
     }
 
-    /** The worker has ended what it held; it is free once it asks again. */
+    /** Ends a held job; the worker becomes available with its next grab or PRE_SLEEP. */
     private void end(HeldJob heldJob, Outcome outcome) {
-        forget(heldJob);
+        removeHeldJob(heldJob);
         Member<WorkerSession> member = member(heldJob.function);
         if (member != null && !heldJob.attempt.hasEnded()) {
             heldJob.function.workers.recordOutcome(member, outcome, server.loop.now() - heldJob.startedAtNs);
@@ -371,7 +371,7 @@
         heldJob.function.workers.attemptEnded(heldJob.attempt, outcome, null, member);
     }
 
-    private void forget(HeldJob heldJob) {
+    private void removeHeldJob(HeldJob heldJob) {
         heldJob.cancelTimeLimit();
         GearmanJob job = GearmanFunction.job(heldJob.attempt);
         heldJobs.remove(job.handle());
@@ -380,15 +380,15 @@
         reportLoad();
     }
 
-    /** The connection is gone, and with it all jobs that it held. */
-    void lost() {
+    /** Ends all jobs that the worker held, and returns the reserved attempt, after the connection is lost. */
+    void connectionLost() {
         cancelWakeUp();
         resetAbilities();
-        for (HeldJob heldJob : new ArrayList<>(heldJobs.values())) { // each may have run to any point
-            forget(heldJob);
+        for (HeldJob heldJob : new ArrayList<>(heldJobs.values())) { // each may have run up to any point
+            removeHeldJob(heldJob);
             heldJob.function.workers.attemptEnded(heldJob.attempt, Outcome.LOST, null, null);
         }
-        if (reserved != null) {
+        if (reservedAttempt != null) {
             returnReserved(Outcome.NOT_SENT);
         }
     }
--- a/src/test/java/beechseam/gearman/GearmanFaultsTest.java
+++ b/src/test/java/beechseam/gearman/GearmanFaultsTest.java
@@ -187,7 +187,7 @@
             }
         }
         other.expect("WORK_COMPLETE " + others);
-        assertTrue(harness.server.unread() <= 2 * (1024 + 64) * 1024, "unread: " + harness.server.unread());
+        assertTrue(harness.server.unreadBytes() <= 2 * (1024 + 64) * 1024, "unread: " + harness.server.unreadBytes());
         harness.drop(deaf);
         harness.net.until("the rest to go with it", () -> harness.server.jobs.size() == 0);
     }
@@ -498,7 +498,7 @@
         harness.net.until(
                 "the worker to be held up",
                 () -> harness.server.connections().stream().anyMatch(c -> c.worker() != null && c.readingPaused()));
-        assertTrue(harness.server.unread() < 8192 * 1024, "bounded: " + harness.server.unread());
+        assertTrue(harness.server.unreadBytes() < 8192 * 1024, "bounded: " + harness.server.unreadBytes());
         StandIn other = harness.peer().say(Packet.ECHO_REQ, "on").expect("ECHO_RES on");
         slow.peer.pauseReading(false);
         worker.say(Packet.WORK_COMPLETE, handle, "end");
