--- a/src/test/java/beechseam/gearman/GearmanHarness.java
+++ b/src/test/java/beechseam/gearman/GearmanHarness.java
@@ -17,11 +17,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** A job server by an operator's file, with stand-in clients and workers on loopback. */
+/** A job server that is configured by an operator's file, with test clients and workers on loopback. */
 final class GearmanHarness implements AutoCloseable {
     final Loopback net = new Loopback();
     final GearmanServer server;
-    final List<StandIn> all = new ArrayList<>();
+    final List<TestPeer> connectedPeers = new ArrayList<>();
 
     GearmanHarness(String file) {
         try {
@@ -33,27 +33,27 @@
         }
     }
 
-    StandIn peer() {
-        return new StandIn();
+    TestPeer peer() {
+        return new TestPeer();
     }
 
-    void drop(StandIn s) {
-        s.peer.close();
-        all.remove(s);
+    void disconnect(TestPeer testPeer) {
+        testPeer.peer.close();
+        connectedPeers.remove(testPeer);
     }
 
-    /** What the server says to an admin line. */
+    /** Sends an admin line on a connection of its own and returns the server's answer. */
     String admin(String line) {
-        StandIn s = peer();
-        s.peer.send(line + "\n");
+        TestPeer operator = peer();
+        operator.peer.send(line + "\n");
         net.until(line, () -> {
-            String heard = s.peer.receivedText();
-            return heard.endsWith("\n.\n")
-                    || heard.equals(".\n")
-                    || heard.endsWith("\n") && heard.matches("(?s)(OK|ERR|\\{).*");
+            String answer = operator.peer.receivedText();
+            return answer.endsWith("\n.\n")
+                    || answer.equals(".\n")
+                    || answer.endsWith("\n") && answer.matches("(?s)(OK|ERR|\\{).*");
         });
-        drop(s);
-        return s.peer.receivedText();
+        disconnect(operator);
+        return operator.peer.receivedText();
     }
 
     @Override
@@ -62,44 +62,44 @@
         net.close();
     }
 
-    /** A client or worker: speaks packets, and keeps those that it hears. */
-    final class StandIn {
+    /** A client or worker that sends packets and records the packets that it receives. */
+    final class TestPeer {
         final Loopback.Peer peer;
-        final Deque<String> heard = new ArrayDeque<>();
-        private int echoes;
+        final Deque<String> received = new ArrayDeque<>();
+        private int echoCount;
 
-        StandIn() {
+        TestPeer() {
             try {
                 peer = net.connect(server.address());
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            all.add(this);
+            connectedPeers.add(this);
         }
 
-        StandIn say(Packet kind, String... args) {
+        TestPeer send(Packet kind, String... args) {
             peer.write(kind.request((Object[]) args));
             return this;
         }
 
-        /** A worker that can do this and has gone to sleep. */
-        StandIn can(String... functions) {
+        /** Registers the functions as a worker, finds no job, and sends PRE_SLEEP. */
+        TestPeer registerAndSleep(String... functions) {
             for (String each : functions) {
-                say(Packet.CAN_DO, each);
+                send(Packet.CAN_DO, each);
             }
-            return say(Packet.GRAB_JOB).expect("NO_JOB").say(Packet.PRE_SLEEP);
+            return send(Packet.GRAB_JOB).expect("NO_JOB").send(Packet.PRE_SLEEP);
         }
 
-        /** All that the server had to say up to now has been heard. */
-        StandIn sync() {
+        /** Waits for an echo, and so until all packets that the server has sent before it are received. */
+        TestPeer sync() {
             if (!peer.closed()) {
-                String mark = "mark" + ++echoes;
-                say(Packet.ECHO_REQ, mark);
-                net.until(mark, () -> {
+                String marker = "mark" + ++echoCount;
+                send(Packet.ECHO_REQ, marker);
+                net.until(marker, () -> {
                     read();
-                    return heard.contains("ECHO_RES " + mark) || peer.disconnected;
+                    return received.contains("ECHO_RES " + marker) || peer.disconnected;
                 });
-                heard.remove("ECHO_RES " + mark);
+                received.remove("ECHO_RES " + marker);
             }
             return this;
         }
@@ -113,40 +113,42 @@
                 byte[] body = new byte[in.getInt()];
                 in.get(body);
                 String args = new String(body, StandardCharsets.ISO_8859_1).replace('\0', ' ');
-                heard.add((kind + " " + args).trim());
+                received.add((kind + " " + args).trim());
             }
-            byte[] rest = new byte[in.remaining()];
-            in.get(rest);
-            peer.unread(new String(rest, StandardCharsets.ISO_8859_1));
+            byte[] incomplete = new byte[in.remaining()];
+            in.get(incomplete);
+            peer.unread(new String(incomplete, StandardCharsets.ISO_8859_1));
         }
 
-        /** Waits for the next packet; it must start so. Returns the rest of it. */
-        StandIn expect(String start) {
+        /** Waits for the next packet and checks that it starts with this text. */
+        TestPeer expect(String start) {
             next(start);
             return this;
         }
 
+        /** Waits for the next packet, checks that it starts with this text, and returns the rest of it. */
         String next(String start) {
             net.until(start, () -> {
                 read();
-                return !heard.isEmpty();
+                return !received.isEmpty();
             });
-            String first = heard.poll();
+            String packet = received.poll();
             assertTrue(
-                    first.startsWith(start),
-                    () -> first.substring(0, Math.min(200, first.length())) + " in place of " + start);
-            return first.substring(start.length()).trim();
+                    packet.startsWith(start),
+                    () -> packet.substring(0, Math.min(200, packet.length())) + " instead of " + start);
+            return packet.substring(start.length()).trim();
         }
 
-        /** Wakes, grabs and returns the handle of the job assigned. */
+        /** Waits for NOOP, grabs, and returns the handle of the assigned job. */
         String grab() {
-            expect("NOOP").say(Packet.GRAB_JOB);
+            expect("NOOP").send(Packet.GRAB_JOB);
             return next("JOB_ASSIGN").split(" ")[0];
         }
 
-        void nothing() {
+        /** Checks that the server has sent no further packet. */
+        void expectNothing() {
             sync();
-            assertTrue(heard.isEmpty(), "unexpected: " + heard);
+            assertTrue(received.isEmpty(), "unexpected packets: " + received);
         }
     }
 }
