--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -46,7 +46,7 @@
     /** Bytes of the memory budget reserved for the long packet being read. */
     private int reservedBytes;
 
-    /** Whether they are reserved for a job's workload; otherwise for a worker's result. */
+    /** Whether these bytes count as workload bytes in the budget; otherwise they count as result bytes. */
     private boolean reservedForJob;
 
     private boolean hasReceived;
--- a/src/main/java/beechseam/gearman/GearmanServer.java
+++ b/src/main/java/beechseam/gearman/GearmanServer.java
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Logs that a connection is being closed for malformed input; releasing it updates its jobs. */
+    /** Logs that a connection is closed for malformed input. Its jobs are updated when it is released. */
     void connectionRejected(GearmanConnection connection) {
         LOG.log(Level.DEBUG, "connection closed reason=bad_input peer=" + connection.peer());
     }
@@ -222,18 +222,18 @@
             return function;
         }
         String code;
-        String why;
+        String message;
         if (name.equals(GearmanConfig.ANY) || config.function(name) == null) {
             code = "UNKNOWN_FUNCTION";
-            why = "no function of this name is served here";
+            message = "no function of this name is served here";
         } else if (functions.size() >= config.bounds().functions()) {
             code = "FUNCTION_LIMIT";
-            why = "max_functions: " + functions.size() + " functions are alive, the most that may";
+            message = "max_functions: " + functions.size() + " functions are alive, the most that may";
         } else {
             return createFunction(name);
         }
         if (requester != null) {
-            requester.error(code, why);
+            requester.error(code, message);
         }
         return null;
     }
--- a/src/test/java/beechseam/gearman/GearmanTest.java
+++ b/src/test/java/beechseam/gearman/GearmanTest.java
@@ -114,13 +114,13 @@
         client.send(Packet.SUBMIT_JOB, "keyed", "k", "x");
         String handle = client.next("JOB_CREATED");
         first.grab();
-        TestPeer elsewhere = peer().send(Packet.SET_CLIENT_ID, "b2-x").registerAndSleep("keyed");
+        TestPeer otherCell = peer().send(Packet.SET_CLIENT_ID, "b2-x").registerAndSleep("keyed");
         TestPeer sameCell = peer().send(Packet.SET_CLIENT_ID, "a1-y").registerAndSleep("keyed");
-        elsewhere.sync();
+        otherCell.sync();
         sameCell.sync();
         disconnect(first);
         assertEquals(handle, sameCell.grab());
-        elsewhere.expectNothing();
+        otherCell.expectNothing();
     }
 
     /** A unique key is submitted again while its job is alive. */
@@ -150,14 +150,15 @@
     /** A job without workers is shed before its deadline, and the client receives the time to retry after. */
     @Test
     void shedJobReportsRetryAfterThenFailsOnce() {
-        TestPeer asking = peer().send(Packet.OPTION_REQ, "exceptions").expect("OPTION_RES");
-        TestPeer plain = peer();
-        String a = asking.send(Packet.SUBMIT_JOB, "short", "", "x").next("JOB_CREATED");
-        String b = plain.send(Packet.SUBMIT_JOB, "short", "", "x").next("JOB_CREATED");
-        asking.expect("WORK_EXCEPTION " + a + " busy: retry after 1.500 s")
+        TestPeer exceptionClient = peer().send(Packet.OPTION_REQ, "exceptions").expect("OPTION_RES");
+        TestPeer plainClient = peer();
+        String a = exceptionClient.send(Packet.SUBMIT_JOB, "short", "", "x").next("JOB_CREATED");
+        String b = plainClient.send(Packet.SUBMIT_JOB, "short", "", "x").next("JOB_CREATED");
+        exceptionClient
+                .expect("WORK_EXCEPTION " + a + " busy: retry after 1.500 s")
                 .expect("WORK_FAIL " + a)
                 .expectNothing();
-        plain.expect("WORK_FAIL " + b).expectNothing();
+        plainClient.expect("WORK_FAIL " + b).expectNothing();
         assertEquals(2, server.counters().shed());
     }
 
@@ -249,25 +250,25 @@
     @Test
     void badInputIsAnsweredOrDisconnectedAndIsolated() {
         TestPeer worker = peer().registerAndSleep("safe");
-        TestPeer invalid = peer();
-        invalid.send(Packet.SUBMIT_JOB, "none", "", "x").expect("ERROR UNKNOWN_FUNCTION");
-        invalid.send(Packet.WORK_COMPLETE, "H:t:99", "x").expect("ERROR JOB_NOT_FOUND");
-        invalid.send(Packet.SUBMIT_JOB, "short").expect("ERROR BAD_ARGUMENTS");
-        invalid.send(Packet.OPTION_REQ, "magic").expect("ERROR UNKNOWN_OPTION");
-        invalid.send(Packet.CAN_DO_TIMEOUT, "safe", "soon").expect("ERROR BAD_ARGUMENTS");
-        invalid.send(Packet.JOB_ASSIGN, "a", "b", "c").expect("ERROR UNKNOWN_COMMAND");
-        invalid.peer.write(ByteBuffer.wrap(new byte[] {0, 'R', 'E', 'Q', 0, 0, 0, 99, 0, 0, 0, 0}));
-        invalid.expect("ERROR UNKNOWN_COMMAND").expectNothing();
+        TestPeer invalidPeer = peer();
+        invalidPeer.send(Packet.SUBMIT_JOB, "none", "", "x").expect("ERROR UNKNOWN_FUNCTION");
+        invalidPeer.send(Packet.WORK_COMPLETE, "H:t:99", "x").expect("ERROR JOB_NOT_FOUND");
+        invalidPeer.send(Packet.SUBMIT_JOB, "short").expect("ERROR BAD_ARGUMENTS");
+        invalidPeer.send(Packet.OPTION_REQ, "magic").expect("ERROR UNKNOWN_OPTION");
+        invalidPeer.send(Packet.CAN_DO_TIMEOUT, "safe", "soon").expect("ERROR BAD_ARGUMENTS");
+        invalidPeer.send(Packet.JOB_ASSIGN, "a", "b", "c").expect("ERROR UNKNOWN_COMMAND");
+        invalidPeer.peer.write(ByteBuffer.wrap(new byte[] {0, 'R', 'E', 'Q', 0, 0, 0, 99, 0, 0, 0, 0}));
+        invalidPeer.expect("ERROR UNKNOWN_COMMAND").expectNothing();
         for (byte[] bytes : new byte[][] {
             {0, 'R', 'E', 'S', 0, 0, 0, 1, 0, 0, 0, 0},
             {0, 'R', 'E', 'Q', 0, 0, 0, 7, 0x7f, 0, 0, 0},
             {0, 'R', 'E', 'Q', 0, 0, 0, 7, -1, 0, 0, 0},
             {(byte) 0x80, 1, 2, 3}
         }) {
-            TestPeer bad = peer();
-            bad.peer.write(ByteBuffer.wrap(bytes));
-            bad.expect("ERROR");
-            net.until("the server to disconnect", () -> bad.peer.disconnected);
+            TestPeer malformedPeer = peer();
+            malformedPeer.peer.write(ByteBuffer.wrap(bytes));
+            malformedPeer.expect("ERROR");
+            net.until("the server to disconnect", () -> malformedPeer.peer.disconnected);
         }
         TestPeer client = peer().send(Packet.SUBMIT_JOB, "safe", "", "x").expect("JOB_CREATED");
         worker.send(Packet.WORK_COMPLETE, worker.grab(), "fine");
