--- a/src/main/java/beechseam/net/AfterLastWrite.java
+++ b/src/main/java/beechseam/net/AfterLastWrite.java
@@ -1,9 +1,9 @@
 package beechseam.net;
 
-/** What a connection does once all its output is written. */
+/** The action of a connection once all its output is written. */
 enum AfterLastWrite {
     STAY_OPEN,
     CLOSE,
-    /** Shut the output down, and discard input until the peer closes. */
+    /** Shut down the output and discard input until the peer closes. */
     HALF_CLOSE
 }
--- a/src/main/java/beechseam/net/ArrivalTimes.java
+++ b/src/main/java/beechseam/net/ArrivalTimes.java
@@ -3,11 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * When the unconsumed bytes of a read buffer arrived: one entry a read, in order, with the stream offset of its
- * last byte. Looking up costs O(reads), of which at most {@link #MAX_READS} are kept.
+ * The arrival times of the unconsumed bytes of a read buffer. Each read has an entry, in order, with its time and the
+ * stream offset of its end. A lookup takes time proportional to the entries, of which there are at most
+ * {@link #MAX_READS}.
  */
 final class ArrivalTimes {
-    /** Reads told apart. Bytes of a further one count as arrived with the last of these, so earlier than they did. */
+    /**
+     * The largest number of entries. The bytes of further reads are added to the last entry, so their arrival time is
+     * reported too early.
+     */
     private static final int MAX_READS = 64;
 
     private static final class Read {
@@ -23,7 +27,7 @@
     private final ArrayDeque<Read> reads = new ArrayDeque<>(2);
     private long totalBytes;
 
-    /** Notes that this many bytes arrived at {@code nowNs}. */
+    /** Records that {@code bytes} further bytes arrived at {@code nowNs}. */
     void record(int bytes, long nowNs) {
         totalBytes += bytes;
         if (reads.size() < MAX_READS) {
@@ -33,14 +37,14 @@
         }
     }
 
-    /** Forgets all but the last {@code unconsumedBytes} bytes. */
+    /** Removes the entries of all but the last {@code unconsumedBytes} bytes. */
     void retain(int unconsumedBytes) {
         while (!reads.isEmpty() && reads.getFirst().endOffset <= totalBytes - unconsumedBytes) {
             reads.removeFirst();
         }
     }
 
-    /** When the byte arrived that {@code followingBytes} others have followed, or {@code defaultNs} if unknown. */
+    /** Returns when the byte with {@code followingBytes} bytes after it arrived, or {@code defaultNs} if unknown. */
     long arrivedAt(int followingBytes, long defaultNs) {
         for (Read read : reads) {
             if (read.endOffset >= totalBytes - followingBytes) {
--- a/src/main/java/beechseam/net/Connection.java
+++ b/src/main/java/beechseam/net/Connection.java
@@ -10,9 +10,9 @@
 
 /**
  * A non-blocking stream connection with callbacks, served by an {@link EventLoop}. It is connecting, open or
- * closed. Input is offered as a slice of the read buffer and stays there until consumed; a full buffer stops
- * the reading. Output waits in order until the peer accepts it, up to a bound. A connection that fails is closed
- * first and its owner told afterwards, exactly once.
+ * closed. Input is passed to the owner as a slice of the read buffer and stays there until the owner consumes it; a
+ * full buffer stops reading. Output is queued in order until the kernel accepts it, up to a limit. A connection that
+ * fails is closed first; its owner is notified afterwards, exactly once.
  */
 public abstract class Connection extends ConnectionCallbacks implements EventLoop.Ready {
     /** The loop that serves this connection. */
@@ -35,17 +35,17 @@
     private long lastActivityNs;
 
     /**
-     * A connection over an accepted channel, or one still to be opened by {@link #connect}.
+     * Creates a connection on an accepted channel, or one that {@link #connect} opens later.
      *
-     * @param channel an accepted channel, or null
-     * @param maxReadBytes the most unconsumed bytes that are held
+     * @param channel an accepted channel, or null for an outgoing connection
+     * @param maxReadBytes the largest number of unconsumed bytes that the connection buffers
      */
     protected Connection(EventLoop loop, SocketChannel channel, int maxReadBytes) throws IOException {
         this.loop = loop;
         this.inbound = new InboundBuffer(loop.buffers, maxReadBytes);
         this.channel = channel != null ? channel : SocketChannel.open();
         this.channel.configureBlocking(false);
-        if (this.channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) { // no Unix socket
+        if (this.channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) { // Unix sockets lack it
             this.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
         lastActivityNs = loop.now();
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Back pressure: with true nothing more is read until it is called with false; unconsumed input is then
-     * offered again, from a later task of the loop.
+     * Pauses or resumes reading, to apply back pressure to the peer. After a resume a later task of the loop passes
+     * the unconsumed input to {@link #received} again.
      */
     public final void pauseReading(boolean paused) {
         if (paused == readPaused || closed()) {
@@ -67,7 +67,7 @@
         if (!connecting()) {
             updateInterestOps();
         }
-        if (!paused) { // not within a callback of this or another connection, which may still hold the buffer
+        if (!paused) { // posted, since the caller may be a callback that still uses a read buffer
             loop.post(this::processBufferedInput);
         }
     }
@@ -77,10 +77,10 @@
         return readPaused;
     }
 
-    /** Opens an outgoing connection. A failure is reported by {@link #lost}, possibly before this returns. */
-    protected final void connect(SocketAddress to) {
+    /** Opens an outgoing connection. A failure is reported to {@link #lost}, possibly before this method returns. */
+    protected final void connect(SocketAddress address) {
         try {
-            boolean established = channel.connect(to);
+            boolean established = channel.connect(address);
             key = loop.register(channel, established ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
             if (established) {
                 handleConnected();
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Writes now what the peer accepts, and the rest later, also what is handed over while still connecting.
-     * The buffers must not be changed until written. Ignored once closed or closing.
+     * Writes as many bytes as the kernel accepts now and queues the rest; while still connecting, it queues all. The
+     * caller must not change the buffers until they are written. Ignored once the connection is closed or closing.
      */
     public final void write(ByteBuffer... parts) {
         if (closed() || afterLastWrite != AfterLastWrite.STAY_OPEN) {
@@ -119,12 +119,12 @@
         }
     }
 
-    /** Bytes handed over that the kernel has not accepted; still counted after a close. */
+    /** Returns the number of bytes passed to {@link #write} that the kernel has not accepted, also after a close. */
     public final long unwritten() {
         return outbound.pendingBytes();
     }
 
-    /** Closes once all output is written; whatever is written after this call is dropped. */
+    /** Closes the connection once all queued output is written; later calls of {@link #write} are ignored. */
     public final void closeWhenWritten() {
         if (afterLastWrite == AfterLastWrite.STAY_OPEN) {
             afterLastWrite = AfterLastWrite.CLOSE;
@@ -135,9 +135,8 @@
     }
 
     /**
-     * Shuts the output down once all is written, and discards input until the peer closes. A close at once
-     * over unread input would reset the connection, and the last answer would be lost with it. The owner
-     * bounds how long this lasts.
+     * Shuts down the output once all of it is written, and discards input until the peer closes. An immediate close
+     * with unread input would reset the connection and lose the last answer. The owner must limit the time this takes.
      */
     public final void endWhenWritten() {
         afterLastWrite = AfterLastWrite.HALF_CLOSE;
@@ -146,12 +145,12 @@
         }
     }
 
-    /** Whether the peer's end has been read behind the bytes on offer; {@link #lost} follows these. */
+    /** Whether the end of the input has been read; {@link #lost} is then called after {@link #received}. */
     protected final boolean peerEnded() {
         return peerEnded;
     }
 
-    /** Whether {@link #endWhenWritten} has been called. */
+    /** Returns whether {@link #endWhenWritten} has been called. */
     public final boolean ending() {
         return afterLastWrite == AfterLastWrite.HALF_CLOSE;
     }
@@ -165,11 +164,11 @@
                 close();
             }
         } catch (IOException e) {
-            close(); // the peer was faster
+            close(); // the peer has closed or reset the connection already
         }
     }
 
-    /** Closes at once, without {@link #lost}; no effect on a closed connection. */
+    /** Closes the connection immediately, without a call of {@link #lost}; a closed connection stays unchanged. */
     public final void close() {
         if (closed()) {
             return;
@@ -182,22 +181,22 @@
         released();
     }
 
-    /** Whether it is closed, by either side. */
+    /** Returns whether the connection is closed, by either side. */
     public final boolean closed() {
         return state == ConnectionState.CLOSED;
     }
 
-    /** Whether it is still being established. */
+    /** Returns whether the connection is still being established. */
     public final boolean connecting() {
         return state == ConnectionState.CONNECTING;
     }
 
-    /** When bytes were last read or written, in ns of the loop's clock; at first the time of creation. */
+    /** Returns the time of the last read or write, in ns of the loop's clock; initially the time of creation. */
     public final long lastActivity() {
         return lastActivityNs;
     }
 
-    /** The peer's IP address in text form, or "?" where there is none. */
+    /** Returns the peer's IP address in text form, or "?" if it has none. */
     public final String peer() {
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress address
@@ -209,10 +208,10 @@
     }
 
     /**
-     * Reads once what the peer has sent already. To be called before an idle connection is closed: a request
-     * that waits unread in the kernel would be lost with it, and on a slow node it may wait for long.
+     * Reads once the input that the peer has already sent. An owner calls it before it closes an idle connection, since
+     * the close would lose a request that is still unread in the kernel; on a slow node it may wait there for long.
      *
-     * @return whether bytes, or the peer's end, had come
+     * @return whether bytes, or the end of the peer's output, had arrived
      */
     public final boolean catchUp() {
         boolean canRead = state == ConnectionState.OPEN && !readPaused && inputMode != InputMode.FULL && !peerEnded;
@@ -227,7 +226,7 @@
         }
     }
 
-    /** Offers input again that was read and not consumed. */
+    /** Passes input that was read but not consumed to {@link #received} again. */
     public final void processBufferedInput() {
         if (!closed() && !readPaused && !inbound.isEmpty()) {
             offer();
@@ -237,12 +236,12 @@
         }
     }
 
-    /** When the byte on offer was read that {@code behind} others have followed, in ns of the loop's clock. */
-    protected final long arrivedAt(int behind) {
-        return inbound.arrivedAt(behind, lastActivityNs);
+    /** Returns when the byte with {@code followingBytes} bytes after it was read, in ns of the loop's clock. */
+    protected final long arrivedAt(int followingBytes) {
+        return inbound.arrivedAt(followingBytes, lastActivityNs);
     }
 
-    /** Whether input has been read that is not consumed. */
+    /** Returns whether input has been read that is not consumed. */
     protected final boolean hasUnused() {
         return !inbound.isEmpty();
     }
@@ -267,10 +266,10 @@
         }
     }
 
-    /** An exception from a callback costs this connection: its owner is told, so that nothing of it is kept. */
+    /** Closes the connection after an exception in a callback; its owner is notified and can discard its state. */
     @Override
-    public final void fault(SelectionKey ignored, Exception why) {
-        fail(new IOException("fault in a callback", why));
+    public final void fault(SelectionKey ignored, Exception cause) {
+        fail(new IOException("exception in a callback", cause));
     }
 
     private void handleConnected() {
@@ -283,7 +282,7 @@
         }
     }
 
-    /** Reads what has come and passes it on; true where it was anything. */
+    /** Reads the input that has arrived and passes it to the owner; returns whether there were any bytes. */
     private boolean read() throws IOException {
         inbound.acquire();
         boolean discards = ending() || inputMode == InputMode.DISCARD;
@@ -316,7 +315,7 @@
     private int fillBuffer() throws IOException {
         int received = 0;
         int count;
-        do { // a buffer that is filled is offered first: what comes behind a long message may wait
+        do { // stops at a full buffer: the owner consumes its input before more is read
             count = inbound.readFrom(channel);
             received += Math.max(0, count);
         } while (count > 0 && inbound.hasRemaining() && readsUntilPeerCloses());
@@ -329,7 +328,7 @@
         discardedBytes += bytes;
         if (discardedBytes > maxDiscardedBytes()) {
             if (!ending()) {
-                throw new IOException("the peer sends on and on");
+                throw new IOException("the peer sent more bytes than may be discarded");
             }
             close();
         }
@@ -377,7 +376,7 @@
             return;
         }
         if (outbound.pendingBytes() > maxUnwrittenBytes()) {
-            fail(new IOException("the peer does not read"));
+            fail(new IOException("the peer does not read: the limit of unwritten bytes is exceeded"));
         } else if (outbound.pendingBytes() == 0 && afterLastWrite != AfterLastWrite.STAY_OPEN) {
             finish();
         } else if (!closed()) {
@@ -388,11 +387,11 @@
         }
     }
 
-    /** Closes a connection that is not closed yet, and reports the reason to {@link #lost}. */
-    protected final void fail(IOException why) {
+    /** Closes the connection, unless it is closed already, and reports the cause to {@link #lost}. */
+    protected final void fail(IOException cause) {
         if (!closed()) {
             close();
-            lost(why);
+            lost(cause);
         }
     }
 }
--- a/src/main/java/beechseam/net/ConnectionCallbacks.java
+++ b/src/main/java/beechseam/net/ConnectionCallbacks.java
@@ -4,61 +4,64 @@
 import java.nio.ByteBuffer;
 
 /**
- * What the owner of a {@link Connection} implements: the events it is told of, and the limits and policies that
- * it may change. All are called on the loop's thread.
+ * The callbacks that the owner of a {@link Connection} implements: events, and limits and policies that it may
+ * override. All are called on the loop's thread.
  */
 public abstract class ConnectionCallbacks {
     private static final int DEFAULT_MAX_UNWRITTEN_BYTES = 512 * 1024;
     private static final int DEFAULT_MAX_DISCARDED_BYTES = 1024 * 1024;
 
-    /** Callback: the outgoing connection is established. */
+    /** Called when the outgoing connection is established. */
     protected void connected() {}
 
-    /** Callback: new input. Consumes what it can from the position on. The slice is void after the call. */
+    /**
+     * Called with the unconsumed input when new input has arrived. The implementation consumes bytes by advancing the
+     * position. The buffer is valid only during the call.
+     */
     protected abstract void received(ByteBuffer bytes);
 
     /**
-     * Callback: the connection failed or the peer closed it; at most once, and never after
+     * Called when the connection failed or the peer closed it; at most once, and never after
      * {@link Connection#close}.
      */
-    protected abstract void lost(IOException why);
+    protected abstract void lost(IOException cause);
 
-    /** Callback: all output has been written. */
+    /** Called when all output has been written. */
     protected void written() {}
 
-    /** Callback: the connection is closed, for whatever reason; exactly once, before {@link #lost}. */
+    /** Called when the connection is closed, for any reason; exactly once, and before {@link #lost}. */
     protected void released() {}
 
-    /** The most bytes of unwritten output: a peer that does not read must not fill the heap. */
+    /** The limit of unwritten output, in bytes, so that a peer that does not read cannot fill the heap. */
     protected long maxUnwrittenBytes() {
         return DEFAULT_MAX_UNWRITTEN_BYTES;
     }
 
-    /** The most bytes read and discarded from a peer that goes on sending. */
+    /** The limit of input that is read and discarded from a peer that keeps sending, in bytes. */
     protected long maxDiscardedBytes() {
         return DEFAULT_MAX_DISCARDED_BYTES;
     }
 
     /**
-     * Whether a read continues through all that the peer has sent, its end included, before the bytes are
-     * offered: an owner that acts on a request needs to know by then whether the peer has closed behind it.
+     * Whether all input that the peer has sent, including the end of its output, is read before the bytes are passed to
+     * {@link #received}. An owner that acts on a request needs it to learn whether the peer has closed after it.
      */
     protected boolean readsUntilPeerCloses() {
         return false;
     }
 
     /**
-     * Asked when the read buffer is full and its owner consumes nothing. False stops the reading until some is
-     * consumed; true discards the buffer and all later input, up to {@link #maxDiscardedBytes}, so that the
-     * peer's close is still noticed.
+     * Called when the read buffer is full and its owner has consumed nothing. With false, reading stops until the owner
+     * consumes some bytes. With true, the buffer and all later input are discarded, up to {@link #maxDiscardedBytes},
+     * so that the peer's close is still noticed.
      */
     protected boolean discardsExcessInput() {
         return false;
     }
 
     /**
-     * Whether output waits for the end of the loop's turn, so that many small messages of one turn share a
-     * system call; more than {@link OutboundQueue#MAX_WRITE_BYTES} never waits.
+     * Whether output is written at the end of the loop's turn, so that many small messages of one turn share a system
+     * call. More than {@link OutboundQueue#MAX_WRITE_BYTES} pending bytes are always written immediately.
      */
     protected boolean batchesWrites() {
         return false;
--- a/src/main/java/beechseam/net/ConnectionState.java
+++ b/src/main/java/beechseam/net/ConnectionState.java
@@ -1,6 +1,6 @@
 package beechseam.net;
 
-/** The life of a connection, in this order; an accepted one begins open. */
+/** The states of a connection, in this order; an accepted connection starts as open. */
 enum ConnectionState {
     CONNECTING,
     OPEN,
--- a/src/main/java/beechseam/net/EventLoop.java
+++ b/src/main/java/beechseam/net/EventLoop.java
@@ -17,44 +17,51 @@
 import java.util.function.Consumer;
 
 /**
- * One thread that serves all connections and timers. A turn serves ready channels first, then posted tasks,
- * due timers, and the tasks of the turn's end. No exception of a callback, task or timer leaves it.
+ * Serves connections, tasks and timers on one thread, in turns. A turn handles the ready channels first, then the
+ * posted tasks, the due timers and the tasks for the end of the turn, in this order. An exception from a callback,
+ * a task or a timer is logged and does not stop the loop.
  */
 public final class EventLoop {
     private static final Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final long NS_PER_MS = 1_000_000L;
     private static final long MAX_WAIT_NS = 1_000_000_000L;
 
-    /** The attachment of a selection key: serves its channel. */
+    /** The handler of a channel's events, attached to the channel's selection key. */
     public interface Ready {
-        /** The channel is ready for some of the operations of its interest set. */
+        /** Handles a channel that is ready for at least one operation of its interest set. */
         void ready(SelectionKey key) throws IOException;
 
-        /** An exception left {@link #ready}: the owner of the channel must not rely on it any more. */
-        default void fault(SelectionKey key, Exception why) {
+        /**
+         * Handles an exception thrown by {@link #ready}. The state of the channel is unknown then, so it is closed by
+         * default.
+         */
+        default void fault(SelectionKey key, Exception cause) {
             closeQuietly(key.channel());
         }
     }
 
-    /** The timers that this loop fires, on the clock of {@link #now}. */
+    /** The timers that this loop fires; their due times are on the clock of {@link #now}. */
     public final TimerQueue timers = new TimerQueue();
 
-    /** The read buffers of all connections of this loop. */
+    /** The pool of read buffers that all connections of this loop share. */
     public final Buffers buffers;
 
     private final Selector selector;
     private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
     private ArrayList<Runnable> turnEndTasks = new ArrayList<>();
-    /** Swapped with the list under way, which may be appended to meanwhile. */
+    /** Takes the place of {@link #turnEndTasks} while those tasks run, since they may add further tasks. */
     private ArrayList<Runnable> emptyTurnEndTasks = new ArrayList<>();
 
     private final Set<Runnable> descriptorFreedTasks = new LinkedHashSet<>();
-    /** Added to the monotonic clock gives Unix time that never steps: discovery dates starts in Unix time. */
+    /**
+     * The difference between Unix time and the monotonic clock when the loop was created. Times are in Unix time
+     * because discovery gives start times in it; they come from the monotonic clock so that they never jump.
+     */
     private final long clockOffsetNs = System.currentTimeMillis() * NS_PER_MS - System.nanoTime();
 
     private volatile boolean stopping;
 
-    /** A loop with buffers of its own; {@link #run} or {@link #turn} serves it. */
+    /** Creates a loop with its own buffer pool; the caller drives it with {@link #run} or {@link #turn}. */
     public EventLoop() throws IOException {
         this(new Buffers());
     }
@@ -64,7 +71,10 @@
         selector = Selector.open();
     }
 
-    /** Monotonic time in ns since the Unix epoch, which was read once: it does not follow steps of the wall clock. */
+    /**
+     * Returns the monotonic time in ns since the Unix epoch. The wall clock is read once, when the loop is created, so
+     * later adjustments of the wall clock have no effect.
+     */
     public long now() {
         return System.nanoTime() + clockOffsetNs;
     }
@@ -75,8 +85,8 @@
     }
 
     /**
-     * Runs the task on the loop's thread, in this turn or the next. With {@link #stop} the only method for other
-     * threads.
+     * Runs the task on the loop's thread, in this turn or the next. Only this method and {@link #stop} may
+     * be called from other threads.
      */
     public void post(Runnable task) {
         postedTasks.add(task);
@@ -84,8 +94,8 @@
     }
 
     /**
-     * Makes a blocking call, such as reading a file, on a thread of its own, and passes its result, which may
-     * be null, or its exception to a callback on the loop's thread.
+     * Makes a blocking call, such as reading a file, on a new thread, then passes the result, which may be null, or
+     * the exception to a callback on the loop's thread.
      */
     public <T> void callAside(Callable<T> call, Consumer<T> done, Consumer<Exception> failed) {
         Thread thread = new Thread(
@@ -97,28 +107,29 @@
                         post(() -> failed.accept(e));
                     }
                 },
-                "aside");
+                "blocking-call");
         thread.setDaemon(true);
         thread.start();
     }
 
     /**
-     * Runs the task at the end of the current turn, after its channels, tasks and timers; for the loop's
-     * thread only.
+     * Runs the task at the end of the current turn, after its channels, posted tasks and timers. May be called on the
+     * loop's thread only.
      */
     public void atTurnEnd(Runnable task) {
         turnEndTasks.add(task);
     }
 
     /**
-     * Runs the task once after a connection of this loop has closed, for an owner that ran out of
-     * descriptors; the same task registered repeatedly still runs once. For the loop's thread only.
+     * Runs the task once, after the next connection of this loop closes. An owner that ran out of file descriptors
+     * uses it to retry early. A task that is registered several times runs once. May be called on the loop's thread
+     * only.
      */
     public void whenDescriptorFreed(Runnable task) {
         descriptorFreedTasks.add(task);
     }
 
-    /** A channel has been closed. The runtime frees its descriptor in the next selection. */
+    /** Posts the waiting tasks after a channel has closed; the runtime frees its descriptor in the next selection. */
     void descriptorFreed() {
         if (!descriptorFreedTasks.isEmpty()) {
             postedTasks.addAll(descriptorFreedTasks);
@@ -126,13 +137,13 @@
         }
     }
 
-    /** Ends {@link #run} after the current turn; for any thread. */
+    /** Makes {@link #run} return after the current turn. May be called from any thread. */
     public void stop() {
         stopping = true;
         selector.wakeup();
     }
 
-    /** Serves turns until {@link #stop}, then closes the selector. */
+    /** Runs turns until {@link #stop} is called, then closes the selector. */
     public void run() throws IOException {
         while (!stopping) {
             turn(MAX_WAIT_NS);
@@ -140,12 +151,12 @@
         selector.close();
     }
 
-    /** One turn: waits until there is something to do, at most {@code maxWaitNs}, and does it. */
+    /** Runs one turn: waits for at most {@code maxWaitNs} until a channel, a task or a timer is due, then serves it. */
     public void turn(long maxWaitNs) throws IOException {
         long waitNs = postedTasks.isEmpty() && turnEndTasks.isEmpty() ? timers.untilNext(now(), maxWaitNs) : 0;
         if (waitNs < NS_PER_MS) {
             selector.selectNow(this::dispatch);
-            if (waitNs > 0) { // the selector counts in milliseconds: rather early than late
+            if (waitNs > 0) { // select counts in ms, and 0 is no limit: round up to 1 ms here, down below
                 selector.select(this::dispatch, 1);
             }
         } else {
@@ -158,7 +169,7 @@
         for (Timer timer = timers.due(nowNs); timer != null; timer = timers.due(nowNs)) {
             runGuarded(timer::run);
         }
-        while (!turnEndTasks.isEmpty()) { // a task, such as one that closes a connection, may add another
+        while (!turnEndTasks.isEmpty()) { // a task may add another, for example by closing a connection
             ArrayList<Runnable> due = turnEndTasks;
             turnEndTasks = emptyTurnEndTasks;
             due.forEach(EventLoop::runGuarded);
--- a/src/main/java/beechseam/net/InboundBuffer.java
+++ b/src/main/java/beechseam/net/InboundBuffer.java
@@ -5,18 +5,18 @@
 import java.nio.channels.ReadableByteChannel;
 
 /**
- * The bytes that a connection has read and its owner has not consumed. The memory is borrowed from the loop's
- * pool only while there are such bytes, grows by doubling up to a limit, and goes back once all is consumed.
- * Outside {@link #flip} and {@link #compact} the buffer's position is the number of bytes it holds.
+ * The bytes that a connection has read and its owner has not consumed. The memory is borrowed from the loop's pool
+ * only while there are such bytes, is doubled as needed up to a limit, and is returned once all bytes are consumed.
+ * Except between {@link #flip} and {@link #compact}, the buffer's position is the number of bytes in it.
  */
 final class InboundBuffer {
     private final Buffers pool;
     private final int maxBytes;
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    /** Null while nothing is borrowed. */
+    /** Null while no memory is borrowed. */
     private ByteBuffer buffer;
 
-    /** {@code maxBytes} is the most it holds; a full buffer does not grow beyond it. */
+    /** Creates an empty buffer that holds at most {@code maxBytes} bytes. */
     InboundBuffer(Buffers pool, int maxBytes) {
         this.pool = pool;
         this.maxBytes = maxBytes;
@@ -30,21 +30,21 @@
         return buffer != null && buffer.position() >= maxBytes;
     }
 
-    /** Borrows a buffer where none is held. */
+    /** Borrows memory from the pool, unless some is borrowed already. */
     void acquire() {
         if (buffer == null) {
             buffer = pool.acquire();
         }
     }
 
-    /** Enlarges an acquired buffer that has no room left; fails where all connections together hold too much. */
+    /** Enlarges an acquired buffer that is full; throws if the large buffers of the pool would exceed their limit. */
     void ensureCapacity() throws IOException {
         if (buffer.hasRemaining()) {
             return;
         }
         ByteBuffer larger = pool.grow(buffer, Math.min(maxBytes, buffer.capacity() * 2));
         if (larger == null) {
-            throw new IOException("no room for so long a message");
+            throw new IOException("the limit of memory for large read buffers is reached");
         }
         buffer = larger;
     }
@@ -53,17 +53,17 @@
         return buffer.hasRemaining();
     }
 
-    /** Reads once; the number of bytes, 0 where none have come, or -1 at the end of the stream. */
+    /** Reads once; returns the number of bytes, 0 if none have arrived, or -1 at the end of the stream. */
     int readFrom(ReadableByteChannel channel) throws IOException {
         return channel.read(buffer);
     }
 
-    /** Drops what it holds and keeps the memory. */
+    /** Discards the bytes and keeps the memory. */
     void discard() {
         buffer.clear();
     }
 
-    /** Gives the memory back, with whatever it holds. */
+    /** Discards the bytes and returns the memory to the pool. */
     void release() {
         if (buffer != null) {
             pool.release(buffer);
@@ -71,14 +71,14 @@
         }
     }
 
-    /** The unconsumed bytes, from position to limit; {@link #compact} must follow. */
+    /** Returns the unconsumed bytes, from position to limit; the caller must call {@link #compact} afterwards. */
     ByteBuffer flip() {
         return buffer.flip();
     }
 
-    /** Keeps what was not consumed since {@link #flip}; gives the memory back where that is nothing. */
+    /** Keeps the bytes not consumed since {@link #flip}; returns the memory to the pool if there are none. */
     void compact() {
-        if (buffer.position() == 0 && buffer.hasRemaining()) { // nothing was used: no need to move what may be much
+        if (buffer.position() == 0 && buffer.hasRemaining()) { // nothing was consumed: avoids copying a long message
             buffer.position(buffer.limit()).limit(buffer.capacity());
         } else {
             buffer.compact();
@@ -89,12 +89,12 @@
         }
     }
 
-    /** Notes that this many bytes were read at that time, in ns of the loop's clock. */
+    /** Records that {@code bytes} bytes were read at {@code nowNs}, in ns of the loop's clock. */
     void recordArrival(int bytes, long nowNs) {
         arrivals.record(bytes, nowNs);
     }
 
-    /** When the byte was read that this many others have followed, in ns, or {@code defaultNs} if unknown. */
+    /** Returns when the byte with {@code followingBytes} bytes after it was read, or {@code defaultNs} if unknown. */
     long arrivedAt(int followingBytes, long defaultNs) {
         return arrivals.arrivedAt(followingBytes, defaultNs);
     }
--- a/src/main/java/beechseam/net/InputMode.java
+++ b/src/main/java/beechseam/net/InputMode.java
@@ -1,11 +1,11 @@
 package beechseam.net;
 
-/** What a connection does with its input. */
+/** How a connection handles its input. */
 enum InputMode {
-    /** Read it and offer it to the owner. */
+    /** Read input and pass it to the owner. */
     OFFER,
-    /** Read nothing: the buffer is full and its owner consumes none of it. */
+    /** Read nothing, because the buffer is full and its owner has consumed nothing. */
     FULL,
-    /** Read and drop it, as the owner decided over a full buffer; final. */
+    /** Read and discard input, as the owner chose when the buffer was full; the mode no longer changes. */
     DISCARD
 }
--- a/src/main/java/beechseam/net/Listener.java
+++ b/src/main/java/beechseam/net/Listener.java
@@ -15,30 +15,33 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * Accepts connections on one address, several a turn. While its owner does not accept, new ones wait in the
- * kernel's queue. An accept that fails, for example for want of descriptors, is tried again after a backoff that
+ * Accepts connections on one address, several per turn of the loop. While accepting is off, new connections wait in
+ * the kernel's queue. An accept that fails, for example for lack of file descriptors, is retried after a backoff that
  * doubles up to a limit, or as soon as a descriptor is freed.
  */
 public final class Listener implements EventLoop.Ready {
     private static final Logger LOG = System.getLogger(Listener.class.getName());
     private static final int BACKLOG = 512;
     /**
-     * The most accepts per turn of the loop: a burst of new connections must not wait in the kernel, nor other
-     * connections for the burst. Each accept may make room by closing another connection, whose descriptor the
-     * runtime keeps until the turn's end.
+     * The largest number of accepts per turn of the loop. It is high enough that a burst of new connections does not
+     * wait in the kernel, and bounded so that the burst does not delay other connections. An accept may close another
+     * connection to stay within a limit, and the runtime frees the descriptor of that one only after the turn.
      */
     public static final int AT_ONCE = 32;
 
-    /** Makes a connection object of an accepted channel. */
+    /** Creates the connection object of an accepted channel. */
     public interface ConnectionAcceptor {
-        /** Takes the channel over, or throws; then the listener closes it. */
+        /** Takes over the channel; if it throws, the listener closes the channel. */
         void accept(SocketChannel channel) throws IOException;
     }
 
-    /** A cancelled key has left its selector after this time, so that the last accept and the close are one. */
+    /**
+     * The delay after which a cancelled key has left its selector, so that the last accept and the close happen without
+     * a gap in which the kernel could queue further connections.
+     */
     private static final long DEREGISTRATION_NS = 5_000_000L;
 
-    /** How long a closing listener goes on retrying failed accepts. */
+    /** How long a closing listener retries failed accepts. */
     private static final long DRAIN_RETRY_LIMIT_NS = 2_000_000_000L;
 
     private enum AcceptResult {
@@ -61,32 +64,35 @@
     private final RetryBackoff backoff = RetryBackoff.forSockets();
     private boolean accepting = true;
 
-    /** Listens on an address that no other process shares; fails where it cannot be bound. */
-    public Listener(EventLoop loop, SocketAddress at, ConnectionAcceptor acceptor) throws IOException {
-        this(loop, at, acceptor, false);
+    /** Listens on an address that no other process shares; throws if the address cannot be bound. */
+    public Listener(EventLoop loop, SocketAddress address, ConnectionAcceptor acceptor) throws IOException {
+        this(loop, address, acceptor, false);
     }
 
     /**
-     * Binds and starts to accept; fails where the address cannot be bound.
+     * Binds the address and starts accepting; throws if the address cannot be bound.
      *
-     * @param at an internet or Unix domain address; port 0 takes a free one
-     * @param shared whether other processes may listen there too (SO_REUSEPORT); the kernel then spreads
-     *     connections over them
+     * @param loop the loop that serves the listener
+     * @param address an internet or Unix domain address; port 0 selects a free port
+     * @param acceptor takes over the accepted channels
+     * @param shared whether other processes may listen on the address too (SO_REUSEPORT); the kernel then distributes
+     *     new connections over them
      */
-    public Listener(EventLoop loop, SocketAddress at, ConnectionAcceptor acceptor, boolean shared) throws IOException {
+    public Listener(EventLoop loop, SocketAddress address, ConnectionAcceptor acceptor, boolean shared)
+            throws IOException {
         this.loop = loop;
         this.acceptor = acceptor;
-        boolean unixSocket = at instanceof UnixDomainSocketAddress;
+        boolean unixSocket = address instanceof UnixDomainSocketAddress;
         channel = unixSocket ? ServerSocketChannel.open(StandardProtocolFamily.UNIX) : ServerSocketChannel.open();
         try {
-            if (!unixSocket) { // a restart must not wait for the previous process's connections to time out
+            if (!unixSocket) { // else a restart waits until the previous process's connections time out
                 channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             }
             if (shared) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
             channel.configureBlocking(false);
-            channel.bind(at, BACKLOG);
+            channel.bind(address, BACKLOG);
             key = loop.register(channel, SelectionKey.OP_ACCEPT, this);
         } catch (IOException | RuntimeException e) {
             EventLoop.closeQuietly(channel);
@@ -94,12 +100,12 @@
         }
     }
 
-    /** The bound address; not for a Unix domain socket. */
+    /** Returns the bound internet address; not available for a Unix domain socket. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Turns accepting on or off; while off, new connections wait in the kernel's queue. */
+    /** Switches accepting on or off; while it is off, new connections wait in the kernel's queue. */
     public void accepting(boolean enabled) {
         accepting = enabled;
         updateInterestOps();
@@ -126,7 +132,7 @@
             accepted = channel.accept();
         } catch (ClosedChannelException e) {
             return AcceptResult.NONE_PENDING;
-        } catch (IOException e) { // out of descriptors, or of the system's memory: the listener stays
+        } catch (IOException e) { // no descriptors or system memory left: the listener stays open and retries
             backOff(e);
             return AcceptResult.FAILED;
         }
@@ -148,12 +154,12 @@
     }
 
     /**
-     * A listener that cannot accept stays readable and would be served again at once without end, so it stops
-     * being served until the backoff ends or a descriptor is freed.
+     * Suspends accepting after a failure until the backoff ends or a descriptor is freed. The channel of a listener
+     * that cannot accept stays ready, so the loop would otherwise retry in every turn without a pause.
      */
-    private void backOff(IOException why) {
+    private void backOff(IOException cause) {
         Level level = backoff.recordFailure() ? Level.WARNING : Level.DEBUG;
-        LOG.log(level, "accept failed reason=" + why.getMessage());
+        LOG.log(level, "accept failed reason=" + cause.getMessage());
         loop.timers.set(backoffTimer, loop.now() + backoff.nextPauseNs());
         loop.whenDescriptorFreed(resumeAccepting);
         updateInterestOps();
@@ -172,9 +178,9 @@
     }
 
     /**
-     * Accepts all that wait, then closes: connections left in the kernel's queue would be reset. A channel on a
-     * selector is closed only by the next select, and until then the kernel would go on queueing, so the
-     * listener leaves its selector first.
+     * Accepts all queued connections, then closes, since a close resets the connections in the kernel's queue. The
+     * socket of a channel that is registered with a selector closes only at the next select, and the kernel queues
+     * connections until then; so the listener leaves its selector first.
      */
     public void closeWhenEmpty() {
         key.cancel();
@@ -197,7 +203,7 @@
                 loop.now() + DEREGISTRATION_NS);
     }
 
-    /** Closes at once; connections in the kernel's queue are reset. No effect when closed. */
+    /** Closes immediately; connections in the kernel's queue are reset. A closed listener stays closed. */
     public void close() {
         loop.timers.cancel(backoffTimer);
         EventLoop.closeQuietly(channel);
--- a/src/main/java/beechseam/net/OutboundQueue.java
+++ b/src/main/java/beechseam/net/OutboundQueue.java
@@ -6,12 +6,12 @@
 import java.util.ArrayDeque;
 
 /**
- * The bytes that a connection has still to write, in order. A long buffer is written in slices of
- * {@link #MAX_WRITE_BYTES}, and small neighbours are merged into one buffer, so that many short messages cost
- * one system call. It does not bound itself: its connection compares {@link #pendingBytes} with its limit.
+ * The output that a connection has not yet written, in order. A long buffer is written in slices of
+ * {@link #MAX_WRITE_BYTES}, and consecutive small buffers are merged, so that many short messages take one system
+ * call. The queue has no limit of its own: the connection compares {@link #pendingBytes} with its limit.
  */
 final class OutboundQueue {
-    /** The most bytes of one write: the runtime copies each into direct memory, which is scarce. */
+    /** Largest write, in bytes: the runtime copies the bytes of each write into direct memory, which is scarce. */
     static final int MAX_WRITE_BYTES = 64 * 1024;
     /** Buffers of up to this many bytes are merged before they are written. */
     private static final int MAX_MERGED_BUFFER_BYTES = 2048;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Bytes added that no write has accepted; {@link #clear} does not reset it. */
+    /** Returns the number of bytes added and not yet written; {@link #clear} does not reset it. */
     long pendingBytes() {
         return pendingBytes;
     }
@@ -36,15 +36,15 @@
         return buffers.isEmpty();
     }
 
-    /** Drops the buffers. The count of bytes stays: it tells how much was never sent. */
+    /** Removes the buffers. {@link #pendingBytes} is kept, as the number of bytes that were never sent. */
     void clear() {
         buffers.clear();
     }
 
     /**
-     * Writes once from the head of a queue that is not empty.
+     * Writes once from the head of the queue, which must not be empty.
      *
-     * @return whether the channel accepted all that was offered; false where it takes no more for now
+     * @return whether the channel accepted all bytes of the write; false if it accepts no more for now
      */
     boolean writeNext(WritableByteChannel channel) throws IOException {
         mergeSmallBuffers();
--- a/src/main/java/beechseam/net/RetryBackoff.java
+++ b/src/main/java/beechseam/net/RetryBackoff.java
@@ -1,13 +1,13 @@
 package beechseam.net;
 
 /**
- * Pauses between retries of an operation that fails here: each twice the one before, up to a bound. A success
- * starts again at the first pause. It counts failures apart from pauses, since several calls may fail within
- * one pause. Not thread-safe: it belongs to one event loop.
+ * Exponential backoff for a local operation that fails: each pause is twice the previous one, up to a limit. A success
+ * resets the backoff to the first pause. Failures and pauses are counted separately, since several calls may fail
+ * within one pause. Not thread-safe: each instance is used by one event loop.
  */
 public final class RetryBackoff {
     private static final long FIRST_SOCKET_PAUSE_NS = 10_000_000L;
-    /** Short beside any client's patience. */
+    /** Short compared with the time-outs of clients. */
     private static final long MAX_SOCKET_PAUSE_NS = 160_000_000L;
 
     private final long firstPauseNs;
@@ -16,7 +16,7 @@
     private long failures;
 
     /**
-     * Creates one with no failure counted.
+     * Creates a backoff with no failure counted.
      *
      * @param firstPauseNs the pause after the first failure, in nanoseconds, above 0
      * @param maxPauseNs the longest pause, in nanoseconds, at least {@code firstPauseNs}
@@ -26,29 +26,29 @@
         this.maxPauseNs = maxPauseNs;
     }
 
-    /** For sockets that cannot be opened or accepted for want of descriptors or ports: 10 to 160 ms. */
+    /** A backoff of 10 to 160 ms, for sockets that cannot be opened or accepted for lack of descriptors or ports. */
     public static RetryBackoff forSockets() {
         return new RetryBackoff(FIRST_SOCKET_PAUSE_NS, MAX_SOCKET_PAUSE_NS);
     }
 
-    /** Counts a failure; true for the first since the last success. The pause stays as it is. */
+    /** Counts a failure; returns whether it is the first since the last success. The pause does not change. */
     public boolean recordFailure() {
         failures++;
         return failures == 1;
     }
 
-    /** Lengthens the pause and returns it, in nanoseconds. */
+    /** Advances to the next pause and returns it, in nanoseconds. */
     public long nextPauseNs() {
         pauseNs = pauseNs == 0 ? firstPauseNs : Math.min(2 * pauseNs, maxPauseNs);
         return pauseNs;
     }
 
-    /** The pause that {@link #nextPauseNs} returned last, in nanoseconds; 0 where there was none. */
+    /** Returns the current pause, in nanoseconds; 0 before the first call of {@link #nextPauseNs} or after a reset. */
     public long pauseNs() {
         return pauseNs;
     }
 
-    /** Starts again after a success; returns how many failures were counted before it, 0 for none. */
+    /** Resets the backoff after a success; returns the number of failures counted before it. */
     public long recordSuccess() {
         long counted = failures;
         failures = 0;
--- a/src/main/java/beechseam/net/TimerQueue.java
+++ b/src/main/java/beechseam/net/TimerQueue.java
@@ -5,8 +5,8 @@
 import java.util.TreeSet;
 
 /**
- * Armed timers ordered by due time; those of one time in the order in which they were set. Setting, cancelling
- * and taking cost O(log n). It has no clock: times are ns of whichever clock its caller uses.
+ * Armed timers ordered by due time; timers with the same due time are in the order in which they were set. Setting,
+ * cancelling and removing a timer take O(log n). The queue has no clock: times are ns of the caller's clock.
  */
 public final class TimerQueue implements Timers {
     private final TreeSet<Timer> queue = new TreeSet<>();
@@ -27,14 +27,14 @@
         }
     }
 
-    /** Time in ns until the next timer is due, at most {@code maxNs}; 0 when one is due. */
+    /** Returns the time in ns until the next timer is due, at most {@code maxNs}; 0 if one is due now. */
     public long untilNext(long nowNs, long maxNs) {
         return queue.isEmpty()
                 ? maxNs
                 : Math.max(0, Math.min(maxNs, queue.first().due() - nowNs));
     }
 
-    /** Takes out and disarms the first timer due at {@code nowNs}; null when none is. */
+    /** Removes, disarms and returns the first timer that is due at {@code nowNs}; null if none is. */
     public Timer due(long nowNs) {
         if (queue.isEmpty() || queue.first().due() > nowNs) {
             return null;
--- a/src/main/java/beechseam/net/package-info.java
+++ b/src/main/java/beechseam/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Transport: an event loop on a thread of its own, connections with callbacks, a listener, pooled read buffers
- * and a queue of timers. It knows no protocol, uses only the timers of {@code core}, and may be used by every
- * protocol's package. All types are for the loop's thread, except where a method says otherwise.
+ * Transport: an event loop on its own thread, connections with callbacks, a listener, pooled read buffers and a timer
+ * queue. The package is independent of any protocol, uses only the timers of {@code core}, and may be used by every
+ * protocol package. All types must be used on the loop's thread only, except where a method documents otherwise.
  */
 package beechseam.net;
