--- a/src/main/java/beechseam/ops/AdminEndpoint.java
+++ b/src/main/java/beechseam/ops/AdminEndpoint.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * The admin endpoint: a connection carries one call, a line of words, gets one answer and is closed. Callers that
- * never finish are bounded in number and time, so that they keep no other operator out.
+ * The admin endpoint. Each connection carries one call, which is a line of words, gets one answer and is closed. The
+ * number of open connections and the time of a call are limited, so that unfinished calls do not block other operators.
  *
  * <p>Not thread-safe: everything runs on the event loop.
  */
@@ -39,9 +39,9 @@
      * Listens for calls.
      *
      * @param loop       the event loop on which calls are handled
-     * @param address    where to listen; port 0 takes any free one
-     * @param operations what the calls are made of
-     * @throws IOException if the address cannot be listened on
+     * @param address    the address to listen on; port 0 selects a free port
+     * @param operations carries out the calls
+     * @throws IOException if the address cannot be bound
      */
     public AdminEndpoint(EventLoop loop, SocketAddress address, Operations operations) throws IOException {
         this.loop = loop;
@@ -49,7 +49,7 @@
         listener = new Listener(loop, address, this::accept);
     }
 
-    /** The address listened on, with the actual port. */
+    /** Returns the bound address, with the actual port. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
@@ -60,7 +60,7 @@
         Set.copyOf(connections).forEach(CallConnection::close);
     }
 
-    /** Closes the oldest connection where there are too many: a new caller is never turned away. */
+    /** Accepts a new connection in any case; at the limit it closes the oldest one first. */
     private void accept(SocketChannel channel) throws IOException {
         if (connections.size() >= MAX_CONNECTIONS) {
             connections.iterator().next().close();
@@ -71,9 +71,9 @@
     /**
      * Carries out a call.
      *
-     * @param operations what the call is made of
-     * @param line       the call; its line end may be missing
-     * @return the answer with its line end
+     * @param operations carries out the call
+     * @param line       the call, with or without its line end
+     * @return the answer, with its line end
      */
     public static String answer(Operations operations, String line) {
         String[] words = line.strip().split("[ \t]+");
--- a/src/main/java/beechseam/ops/HandoverLink.java
+++ b/src/main/java/beechseam/ops/HandoverLink.java
@@ -19,39 +19,39 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * The link between the processes of one node while one takes over from another. Each process listens on a Unix
- * socket of its own in the node's state directory; a process that starts connects to every socket it finds there,
- * so the connecting side is always the successor and the accepting side the predecessor. The predecessor sends
- * its state at once; the successor says when it serves clients. If no socket can be opened, for example since
- * the path is too long, the process runs without a link and cannot be taken over.
+ * The link between the processes of one node while one takes over from another. Each process listens on its own Unix
+ * socket in the node's state directory. A process that starts connects to every socket in that directory, so the
+ * connecting side is always the successor and the accepting side the predecessor. The predecessor sends its state
+ * immediately; the successor reports when it serves clients. If no socket can be opened, for example because the path
+ * is too long, the process runs without a link and no successor can take over from it.
  *
  * <p>Not thread-safe: everything runs on the event loop.
  */
 public final class HandoverLink {
-    /** The process at this end: the source of what the link sends, and the receiver of what arrives. */
+    /** The process at this end of the link: it provides the state to send and receives the peers' messages. */
     public interface Process {
-        /** Admin calls, without line ends, that bring a successor to this process's state; may be empty. */
+        /** Returns the admin calls, without line ends, that give a successor this process's state; may be empty. */
         Iterable<String> currentState();
 
-        /** The learned state in pieces of at most {@link #MAX_PIECE_BYTES} bytes; may be empty. */
+        /** Returns the learned state in pieces of at most {@link #MAX_PIECE_BYTES} bytes; may be empty. */
         Iterable<byte[]> learnedState();
 
-        /** A piece of a predecessor's learned state, backed by an array; valid only during the call. */
+        /** Called with a piece of a predecessor's learned state, backed by an array and valid only during the call. */
         void learnedStateReceived(ByteBuffer piece);
 
-        /** An admin call, without line end, that was made at a peer. */
+        /** Called with an admin call, without line end, that a peer has received. */
         void callReceived(String line);
 
-        /** A callback that belongs to no job of the peer, backed by an array; valid only during the call. */
+        /** Called with a callback that is for no job of the peer, backed by an array and valid only during the call. */
         void callbackReceived(ByteBuffer body);
 
-        /** A peer has connected or disconnected, or has said that it serves clients. */
+        /** Called when a peer has connected, has disconnected, or has reported that it serves clients. */
         void peersChanged();
     }
 
     /**
-     * What a frame holds. The ordinal is the first byte of the frame on the wire, which processes of other versions
-     * read: the order must never change, and a new kind goes to the end.
+     * The kinds of frames. The ordinal is the first byte of the frame on the wire and is read by processes of other
+     * versions, so the order must never change and a new kind must be added at the end.
      */
     private enum Kind {
         /** A piece of the predecessor's learned state. */
@@ -60,7 +60,7 @@
         STATE_COMPLETE,
         /** The successor serves clients; no body. */
         READY,
-        /** The predecessor has noted {@link #READY}; no body. */
+        /** The predecessor has processed {@link #READY}; no body. */
         READY_ACKNOWLEDGED,
         /** An admin call in UTF-8, without line end. */
         CALL,
@@ -72,31 +72,31 @@
 
     private static final Logger LOG = System.getLogger(HandoverLink.class.getName());
     private static final int MAX_FRAME_BYTES = 128 * 1024;
-    /** One byte for the kind, four for the length of the body, most significant first. */
+    /** One byte for the kind, then four for the length of the body in big-endian order. */
     private static final int FRAME_HEADER_BYTES = 5;
 
     private static final String SOCKET_SUFFIX = ".sock";
-    /** Socket names carry a random number of seven hexadecimal digits. */
+    /** Socket names contain a random number of seven hexadecimal digits. */
     private static final int MIN_SOCKET_NUMBER = 1 << 24;
 
     private static final int MAX_SOCKET_NUMBER = 1 << 28;
-    /** The most bytes of a frame's body, and so of a piece of learned state. */
+    /** The largest body of a frame, and so the largest piece of learned state, in bytes. */
     public static final int MAX_PIECE_BYTES = MAX_FRAME_BYTES - FRAME_HEADER_BYTES;
 
     private final EventLoop loop;
     private final Process process;
     private final Set<PeerConnection> peers = new LinkedHashSet<>();
     private Listener listener;
-    /** Null if the directory gives no valid path for it. */
+    /** Null if the directory and the node's name do not form a valid path. */
     private Path socketFile;
 
     /**
-     * Opens this process's socket and connects to the node's other processes. A failure is logged, not thrown:
-     * the process then has no peers.
+     * Opens this process's socket and connects to the node's other processes. A failure is logged and not thrown; the
+     * process then runs without peers.
      *
      * @param loop      the event loop on which the link runs
      * @param directory the state directory of the node
-     * @param node      tells apart nodes that share the directory; must be valid in a file name
+     * @param node      identifies the node among those that share the directory; must be valid in a file name
      * @param process   the process at this end
      */
     public HandoverLink(EventLoop loop, Path directory, String node, Process process) {
@@ -115,7 +115,7 @@
                     }
                 }
             }
-        } catch (IOException | RuntimeException e) { // the node serves without a link
+        } catch (IOException | RuntimeException e) { // the node serves clients without a link
             LOG.log(Level.WARNING, "handover link unavailable reason=" + e.getMessage());
         }
     }
@@ -129,42 +129,42 @@
         }
     }
 
-    /** The number of connected processes of this node, without this one. */
+    /** Returns the number of connected processes of this node, not counting this one. */
     public int peerCount() {
         return peers.size();
     }
 
-    /** Whether a predecessor is connected whose state has not arrived in full. */
+    /** Returns whether a connected predecessor has not yet sent all its state. */
     public boolean awaitsPeerState() {
         return peers.stream().anyMatch(each -> each.predecessor && !each.stateReceived);
     }
 
-    /** Tells the predecessors that this process serves clients. */
+    /** Notifies the predecessors that this process serves clients. */
     public void ready() {
         peers.stream().filter(each -> each.predecessor).forEach(each -> each.send(Kind.READY));
     }
 
-    /** Whether a predecessor is connected that has not acknowledged {@link #ready}. */
+    /** Returns whether a connected predecessor has not yet acknowledged {@link #ready}. */
     public boolean awaitsReadyAcknowledgement() {
         return peers.stream().anyMatch(each -> each.predecessor && !each.readyAcknowledged);
     }
 
-    /** Whether a successor is connected and serves clients, so that it can take over. */
+    /** Returns whether a connected successor serves clients, so that it can take over. */
     public boolean hasSuccessor() {
         return peers.stream().anyMatch(each -> each.servesClients);
     }
 
-    /** Sends all peers an admin call, without line end, that was made here. */
+    /** Sends all peers an admin call, without line end, that this process has received. */
     public void sendCall(String line) {
         peers.forEach(each -> each.send(Kind.CALL, line));
     }
 
     /**
-     * Sends all peers a callback that belongs to no job here.
+     * Sends all peers a callback that belongs to no job of this process.
      *
-     * @param bytes  holds the callback
-     * @param from   where it starts
-     * @param length how many bytes it has
+     * @param bytes  the array that contains the callback
+     * @param from   the index of its first byte
+     * @param length the number of its bytes
      * @return false if there is no peer
      */
     public boolean forwardCallback(byte[] bytes, int from, int length) {
@@ -178,7 +178,7 @@
             listener.close();
         }
         Set<PeerConnection> connected = Set.copyOf(peers);
-        peers.clear(); // so that a connection that closes reports no change
+        peers.clear(); // emptied first, so that the closing connections report no change
         connected.forEach(Connection::close);
         try {
             Files.deleteIfExists(socketFile);
@@ -187,16 +187,16 @@
         }
     }
 
-    /** A connection to one other process, over which frames go both ways. */
+    /** A connection to one other process, which carries frames in both directions. */
     private final class PeerConnection extends Connection {
         private final boolean predecessor;
-        /** As a predecessor: all its state has arrived. */
+        /** Whether the peer is a predecessor and all its state has arrived. */
         private boolean stateReceived;
-        /** As a predecessor: it has noted that this process serves clients. */
+        /** Whether the peer is a predecessor and has acknowledged that this process serves clients. */
         private boolean readyAcknowledged;
-        /** As a successor: it has said that it serves clients. */
+        /** Whether the peer is a successor and has reported that it serves clients. */
         private boolean servesClients;
-        /** Bytes of learned state queued at once: they may wait to be written in addition to the usual limit. */
+        /** Bytes of learned state, all queued at the start; the limit of unwritten bytes is raised by them. */
         private long learnedStateBytes;
 
         PeerConnection(SocketChannel channel, boolean predecessor) throws IOException {
@@ -242,7 +242,7 @@
                 int kind = in.get(in.position());
                 int length = in.getInt(in.position() + 1);
                 if (kind < 0 || kind >= Kind.BY_ORDINAL.size() || length < 0 || length > MAX_PIECE_BYTES) {
-                    // A process of another version.
+                    // The peer may run another version that has further frame kinds or longer frames.
                     fail(new IOException("invalid frame, kind " + kind + ", length " + length));
                     return;
                 }
--- a/src/main/java/beechseam/ops/MaintenanceFile.java
+++ b/src/main/java/beechseam/ops/MaintenanceFile.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 
 /**
- * The file that carries operators' maintenance calls from one process of a node to the next: a JSON object of
- * executor ids and times. It is written to a temporary file, forced to disk and renamed, so that a reader sees
- * the old content or the new one.
+ * The file that stores operators' maintenance calls for the next process of a node: a JSON object of executor ids and
+ * times. The content is written to a temporary file, forced to disk and renamed, so that a reader sees either the old
+ * content or the new one.
  */
 public final class MaintenanceFile {
     private static final Logger LOG = System.getLogger(MaintenanceFile.class.getName());
@@ -26,10 +26,10 @@
     private final Path file;
 
     /**
-     * Names the file; nothing is read or written.
+     * Sets the path of the file; neither reads nor writes it.
      *
      * @param directory the state directory of the node
-     * @param node      tells apart nodes that share the directory; must be valid in a file name
+     * @param node      identifies the node among those that share the directory; must be valid in a file name
      */
     public MaintenanceFile(Path directory, String node) {
         file = directory.resolve("beechseam-" + node + "-maintenance.json");
@@ -38,9 +38,9 @@
     /**
      * Reads the file.
      *
-     * @return by executor id, in no promised order, the time at which it was put back into service, in nanoseconds
-     *     since the epoch, or 0 for one in maintenance; null if there is no file, or if it cannot be read, which is
-     *     logged
+     * @return a map from executor id, in unspecified order, to the time at which the executor was put back into
+     *     service, in nanoseconds since the epoch, or 0 for an executor in maintenance; null if there is no file, or if
+     *     it cannot be read, which is logged
      */
     public Map<String, Long> read() {
         try {
@@ -49,15 +49,15 @@
                 Map<String, Long> entries = new LinkedHashMap<>();
                 for (Map.Entry<?, ?> each : map.entrySet()) {
                     if (!(each.getValue() instanceof Number restoredNs)) {
-                        throw new IOException(each.getKey() + " has no time");
+                        throw new IOException(each.getKey() + " has no number as its time");
                     }
                     entries.put((String) each.getKey(), restoredNs.longValue());
                 }
                 return entries;
             }
-            throw new IOException("not an object");
+            throw new IOException("the content is not a JSON object");
         } catch (NoSuchFileException e) {
-            return null; // nothing was ever written
+            return null; // no maintenance call has been stored yet
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.ERROR, "maintenance file unreadable reason=" + e.getMessage());
             return null;
@@ -67,8 +67,8 @@
     /**
      * Replaces the file's content.
      *
-     * @param entries as {@link #read} returns them
-     * @return false if that failed, which is logged; the file then keeps its old content
+     * @param entries the new content, in the form that {@link #read} returns
+     * @return false if the write failed, which is logged; the file then keeps its old content
      */
     public boolean write(Map<String, Long> entries) {
         Path temporary = null;
@@ -84,7 +84,7 @@
                 json.writeEndObject();
             }
             try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
-                channel.force(true); // or a crash could leave the new name with no content
+                channel.force(true); // without this a crash could leave the renamed file empty
             }
             Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             return true;
--- a/src/main/java/beechseam/ops/Operations.java
+++ b/src/main/java/beechseam/ops/Operations.java
@@ -1,27 +1,30 @@
 package beechseam.ops;
 
-/** What operators can ask of a node. A call that is refused or fails returns the reason, any other returns null. */
+/**
+ * The admin calls of operators to a node. The maintenance and standby calls return null on success, or else the reason
+ * why they were refused or failed.
+ */
 public interface Operations {
-    /** Why this process does not serve clients, or null if it does. */
+    /** Returns the reason why this process does not serve clients, or null if it serves them. */
     String status();
 
-    /** The counters, one {@code name=value} a line, each with its line end. */
+    /** Returns the counters, one {@code name=value} per line, each with its line end. */
     String stats();
 
     /**
-     * Takes an executor out of service or puts it back.
+     * Takes an executor out of service or puts it back into service.
      *
-     * @param id  the executor's id as discovery lists it
-     * @param out whether it goes out of service
-     * @return null if it is so now, else the reason
+     * @param id  the executor's id, as discovery lists it
+     * @param out true to take it out of service, false to put it back
+     * @return null on success, else the reason for the failure
      */
     String maintenance(String id, boolean out);
 
     /**
      * Drains clients to other nodes, or serves them again.
      *
-     * @param on whether clients are to be drained
-     * @return null if it is so now, else the reason
+     * @param on true to drain clients, false to serve them
+     * @return null on success, else the reason for the failure
      */
     String standby(boolean on);
 }
