--- a/src/main/java/beechseam/http/ByteSearch.java
+++ b/src/main/java/beechseam/http/ByteSearch.java
@@ -1,12 +1,12 @@
 package beechseam.http;
 
-/** Searches in a range of bytes, {@code from} inclusive, {@code to} exclusive. */
+/** Searches a range of bytes, from {@code from} inclusive to {@code to} exclusive. */
 final class ByteSearch {
     private static final int HEAD_END_LENGTH = 4;
 
     private ByteSearch() {}
 
-    /** Index of the first such byte, or -1. */
+    /** Returns the index of the first {@code wanted} byte, or -1. */
     static int indexOf(byte[] bytes, char wanted, int from, int to) {
         for (int i = from; i < to; i++) {
             if (bytes[i] == wanted) {
@@ -16,7 +16,7 @@
         return -1;
     }
 
-    /** Index of the first CR LF, or {@code to}. */
+    /** Returns the index of the first CR LF, or {@code to}. */
     static int indexOfLineEnd(byte[] bytes, int from, int to) {
         for (int i = from; i + 1 < to; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n') {
@@ -26,7 +26,7 @@
         return to;
     }
 
-    /** Index behind the first CR LF CR LF, or -1. */
+    /** Returns the index after the first CR LF CR LF, or -1. */
     static int endOfHead(byte[] bytes, int from, int to) {
         for (int i = from; i + HEAD_END_LENGTH - 1 < to; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
--- a/src/main/java/beechseam/http/ChunkedBody.java
+++ b/src/main/java/beechseam/http/ChunkedBody.java
@@ -1,8 +1,8 @@
 package beechseam.http;
 
 /**
- * Decodes a chunked body in place. Each call continues behind the last chunk that had come whole, and the chunks
- * are joined only once all have come, so the cost is proportional to the length in however many pieces it comes.
+ * Decodes a chunked body in place. Each call continues after the last complete chunk, and the chunks are joined only
+ * once all have arrived, so the cost is proportional to the length of the body, however it is fragmented.
  */
 final class ChunkedBody {
     private static final int MAX_CHUNK_LINE_BYTES = 1024;
@@ -10,9 +10,9 @@
 
     private final int maxBody;
     private final int maxFraming;
-    /** Offset from the message's start of the first chunk that has not come whole; 0 before the first. */
+    /** Offset from the message's start to the first incomplete chunk; 0 before the first chunk. */
     private int nextChunkOffset;
-    /** Bytes of data in the chunks before that. */
+    /** Bytes of data in the complete chunks before {@link #nextChunkOffset}. */
     private int dataLength;
 
     private byte[] bytes;
@@ -21,32 +21,33 @@
     private Slice body = Slice.EMPTY;
     private int end;
 
-    /** The most bytes of data, and of the chunks' frames around it. */
+    /** Creates a decoder with the limits, in bytes, of the data and of the framing of its chunks. */
     ChunkedBody(int maxBody, int maxFraming) {
         this.maxBody = maxBody;
         this.maxFraming = maxFraming;
     }
 
-    /** Forgets the message under way. */
+    /** Discards the state of the current message. */
     void reset() {
         nextChunkOffset = 0;
         dataLength = 0;
     }
 
-    /** The decoded data, once {@link #decode} has returned true. */
+    /** Returns the decoded data; valid once {@link #decode} has returned true. */
     Slice body() {
         return body;
     }
 
-    /** Index behind the message, once {@link #decode} has returned true. */
+    /** Returns the index after the message; valid once {@link #decode} has returned true. */
     int end() {
         return end;
     }
 
     /**
-     * Decodes as far as bytes have come; false when more are needed.
+     * Decodes the bytes that have arrived; returns false if more are needed.
      *
-     * @param messageStart where the message began at the first call too, relative to its bytes
+     * @param messageStart the index of the message's first byte in this call's buffer; all calls for a message must
+     *     mean the same byte
      */
     boolean decode(byte[] buffer, int messageStart, int from, int to) throws HttpException {
         bytes = buffer;
@@ -61,7 +62,7 @@
                 }
                 return false;
             }
-            if (line == position || bytes[line - 1] != '\r') { // a bare line end: others may see another chunk
+            if (line == position || bytes[line - 1] != '\r') { // a bare LF: peers may parse another chunk from it
                 throw malformedChunk();
             }
             int size = chunkSize(position, line);
--- a/src/main/java/beechseam/http/HeaderTable.java
+++ b/src/main/java/beechseam/http/HeaderTable.java
@@ -24,7 +24,7 @@
         return values[index];
     }
 
-    /** The first value of a header by its name in lower case, or null. */
+    /** Returns the first value of the header with this name, or null; the name must be in lower case. */
     Slice get(String lowerCaseName) {
         for (int i = 0; i < count; i++) {
             if (names[i].is(lowerCaseName)) {
@@ -34,10 +34,11 @@
         return null;
     }
 
-    /** Adds the line that begins at {@code lineStart}; {@code lineEnd} is its CR. */
+    /** Adds the header line that begins at {@code lineStart}; {@code lineEnd} is the index of its CR. */
     void add(byte[] bytes, int lineStart, int lineEnd) throws HttpException {
         int colon = ByteSearch.indexOf(bytes, ':', lineStart, lineEnd);
-        // No blanks, line ends or odd bytes in a name: peers differ in what they take such a line for.
+        // A name with blanks, line ends or other invalid bytes is rejected: implementations parse such lines
+        // differently.
         if (colon <= lineStart || !new Slice(bytes, lineStart, colon - lineStart).isToken()) {
             throw new HttpException(400, "a malformed header line");
         }
@@ -52,7 +53,7 @@
         while (to > from && (bytes[to - 1] == ' ' || bytes[to - 1] == '\t')) {
             to--;
         }
-        for (int i = from; i < to; i++) { // a bare line end inside could smuggle a header past us
+        for (int i = from; i < to; i++) { // a bare CR or LF in a value could smuggle in a header
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 127) {
                 throw new HttpException(400, "a malformed header value");
             }
--- a/src/main/java/beechseam/http/HttpException.java
+++ b/src/main/java/beechseam/http/HttpException.java
@@ -1,12 +1,15 @@
 package beechseam.http;
 
-/** Input that is not well-formed HTTP, or exceeds a limit. It carries no stack trace: peers can cause it at will. */
+/**
+ * Thrown for input that is not well-formed HTTP or exceeds a limit. It has no stack trace, since any peer can cause it
+ * as often as it likes.
+ */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1;
-    /** The status to answer with. */
+    /** The status code of the answer. */
     public final int status;
 
-    /** The message is sent to the client together with the status. */
+    /** Creates an exception whose message is sent to the client together with the status. */
     public HttpException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/beechseam/http/HttpParser.java
+++ b/src/main/java/beechseam/http/HttpParser.java
@@ -3,18 +3,18 @@
 import java.nio.ByteBuffer;
 
 /**
- * A decoder of HTTP/1.1 messages that come one after the other in a connection's buffer. The parts of a message
- * are slices of that buffer. The buffer may move between calls, so the head is read again by each call that has
- * it whole; only relative offsets are kept: how far the end of the head was searched for and the chunks followed.
+ * A parser of consecutive HTTP/1.1 messages in a connection's buffer. The parts of a message are slices of that
+ * buffer. The buffer may move between calls, so each call that has the complete head parses it again. Only relative
+ * offsets are kept between calls: how far the end of the head was searched for, and where the next chunk begins.
  */
 public final class HttpParser {
     /** The longest head, in bytes. */
     public static final int MAX_HEAD = 16 * 1024;
-    /** The longest body of a job, in bytes, by the platform's protocol. */
+    /** The longest body of a job in the platform's protocol, in bytes. */
     public static final int MAX_BODY = 64 * 1024;
-    /** The frames of a chunked body may add 1/8 of the longest body. */
+    /** The framing of a chunked body may take 1/8 of the longest body. */
     private static final int FRAMING_DIVISOR = 8;
-    /** The most bytes that the buffer of a connection for jobs must hold. */
+    /** The required capacity of the buffer of a connection for jobs, in bytes. */
     public static final int MAX_MESSAGE = maxMessage(MAX_BODY);
 
     private static final int MAX_STATUS = 999;
@@ -33,14 +33,14 @@
     private final int maxBody;
     private final HeaderTable headers = new HeaderTable();
     private final ChunkedBody chunks;
-    /** Bytes of the head searched for its end. */
+    /** Bytes of the head already searched for its end. */
     private int searchedBytes;
 
     private State state = State.HEAD;
     private byte[] bytes;
     private int messageStart;
     private int limit;
-    /** Index behind what has been parsed. */
+    /** Index after the last parsed byte. */
     private int position;
 
     private int bodyLength;
@@ -52,16 +52,16 @@
     private boolean keepAlive;
     private boolean untilClose;
 
-    /** A parser of messages with bodies of jobs, of up to {@link #MAX_BODY} bytes. */
+    /** Creates a parser of requests or responses with bodies of up to {@link #MAX_BODY} bytes. */
     public HttpParser(boolean request) {
         this(request, MAX_BODY);
     }
 
     /**
-     * A parser with a limit of its own.
+     * Creates a parser with its own limit.
      *
-     * @param request whether it reads requests, or else responses
-     * @param maxBody the longest body in bytes; a longer one fails with both lengths in the message
+     * @param request true to parse requests, false to parse responses
+     * @param maxBody the longest body in bytes; the message of the exception for a longer one has both lengths
      */
     public HttpParser(boolean request, int maxBody) {
         this.request = request;
@@ -69,16 +69,16 @@
         this.chunks = new ChunkedBody(maxBody, maxBody / FRAMING_DIVISOR);
     }
 
-    /** The most bytes that a buffer must hold for a message whose body has up to {@code maxBody} bytes. */
+    /** Returns the buffer capacity, in bytes, that messages with bodies of up to {@code maxBody} bytes need. */
     public static int maxMessage(int maxBody) {
         return MAX_HEAD + maxBody + maxBody / FRAMING_DIVISOR;
     }
 
     /**
-     * Takes one whole message off the buffer, which must be backed by an array; false, and the position
-     * unchanged, when more bytes are needed.
+     * Parses one complete message and moves the buffer's position after it. The buffer must have an array.
      *
-     * @throws HttpException where the input is malformed or too long; the parser is of no use afterwards
+     * @return false, with the position unchanged, if more bytes are needed
+     * @throws HttpException if the input is malformed or too long; the parser must not be used afterwards
      */
     public boolean parse(ByteBuffer in) throws HttpException {
         bytes = in.array();
@@ -105,7 +105,7 @@
 
     private boolean readHead() throws HttpException {
         int start = messageStart;
-        if (request) { // a stray line end between requests is passed over
+        if (request) { // line ends before a request are skipped
             while (start < limit && (bytes[start] == '\r' || bytes[start] == '\n')) {
                 start++;
             }
@@ -163,7 +163,7 @@
     private boolean chooseFraming() throws HttpException {
         Slice connection = headers.get("connection");
         if (connection != null) {
-            keepAlive = connection.lists("close") ? false : keepAlive || connection.lists("keep-alive");
+            keepAlive = connection.listContains("close") ? false : keepAlive || connection.listContains("keep-alive");
         }
         long length = -1;
         boolean chunked = false;
@@ -171,7 +171,7 @@
         for (int i = 0; i < headers.count(); i++) {
             if (headers.name(i).is("content-length")) {
                 long value = number(headers.value(i), MAX_LENGTH);
-                if (length >= 0) { // also where both are the same: nobody sends that by mistake
+                if (length >= 0) { // also if both are equal: no peer repeats the header by mistake
                     throw new HttpException(400, "conflicting lengths");
                 }
                 length = value;
@@ -195,10 +195,10 @@
         return true;
     }
 
-    /** Bytes of the body of a response without a length: all that has come where it ends with the connection. */
+    /** Body length of a response without a length header; if the close ends it, the bytes that have arrived. */
     private int lengthWithoutHeader() throws HttpException {
         if (status == ACCEPTED) {
-            keepAlive = false; // its body, if any, has no end that could be seen
+            keepAlive = false; // the end of its body, if it has one, cannot be found
             return 0;
         }
         if (status == 204 || status == 304 || status < 200) {
@@ -250,44 +250,44 @@
         return number;
     }
 
-    /** The request's method; all parts of a message are void once the buffer moves. */
+    /** Returns the request's method; this and all other parts of a message are valid until the buffer changes. */
     public Slice method() {
         return method;
     }
 
-    /** The request's target, with its query. */
+    /** Returns the request's target, with its query. */
     public Slice target() {
         return target;
     }
 
-    /** The target without its query. */
+    /** Returns the request's target without its query. */
     public Slice path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.part(0, query);
     }
 
-    /** The response's status code, 0 to 999. */
+    /** Returns the response's status code, from 0 to 999. */
     public int status() {
         return status;
     }
 
-    /** The body, decoded; empty where there is none. */
+    /** Returns the decoded body; empty if there is none. */
     public Slice body() {
         return body;
     }
 
-    /** Whether the connection may be used for a further message. */
+    /** Returns whether the connection may be used for a further message. */
     public boolean keepAlive() {
         return keepAlive;
     }
 
-    /** Whether the response's body ends with the connection: {@link #body} is what has come so far. */
+    /** Whether the response's body ends at the connection's close; {@link #body} then has the bytes received so far. */
     public boolean untilClose() {
         return untilClose;
     }
 
-    /** A header's first value by its name in lower case, or null. */
-    public Slice header(String lower) {
-        return headers.get(lower);
+    /** Returns the first value of the header with this name, or null; the name must be in lower case. */
+    public Slice header(String lowerCaseName) {
+        return headers.get(lowerCaseName);
     }
 }
--- a/src/main/java/beechseam/http/HttpWriter.java
+++ b/src/main/java/beechseam/http/HttpWriter.java
@@ -3,15 +3,15 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** An encoder of whole HTTP/1.1 messages. */
+/** Encodes complete HTTP/1.1 messages. */
 public final class HttpWriter {
     private HttpWriter() {}
 
     /**
-     * A whole response.
+     * Encodes a complete response.
      *
      * @param headers further header lines, each with its CR LF; may be empty
-     * @param close whether to announce that the connection will be closed
+     * @param close whether to announce the close of the connection
      */
     public static ByteBuffer response(int status, String headers, byte[] body, boolean close) {
         StringBuilder head = new StringBuilder(128)
@@ -31,10 +31,10 @@
     }
 
     /**
-     * A whole request.
+     * Encodes a complete request.
      *
      * @param headers further header lines, each with its CR LF; may be empty
-     * @param body may be empty
+     * @param body the body; may be empty
      */
     public static ByteBuffer request(String method, String target, String host, String headers, byte[] body) {
         StringBuilder head = new StringBuilder(256)
--- a/src/main/java/beechseam/http/ServerConnection.java
+++ b/src/main/java/beechseam/http/ServerConnection.java
@@ -8,52 +8,55 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The server side of an HTTP connection: one exchange at a time, each answered once and in order. {@link #sweep}
- * enforces the time-outs: for a whole request, for reading answers, for idling, and for closing after the last
- * answer.
+ * The server side of an HTTP connection. It handles one exchange at a time and answers each once, in order.
+ * {@link #sweep} enforces the time-outs: for receiving a request, for reading answers, for idling, and for closing
+ * after the last answer.
  */
 public abstract class ServerConnection extends Connection {
-    /** Time-out of a request, from its first byte, or from the accept where it is the first. */
+    /** Time-out for receiving a request, from its first byte, or from the accept for the first request. */
     private static final long REQUEST_TIMEOUT_NS = 2_000_000_000L;
-    /** Time-out of a peer that does not read its answers. */
+    /** Time-out for a peer that does not read its answers. */
     private static final long WRITE_STALL_TIMEOUT_NS = 10_000_000_000L;
 
-    /** With more unread answers than this no further request is parsed. */
+    /** Limit of unread answers; beyond it no further request is parsed. */
     private static final int MAX_UNREAD_ANSWER_BYTES = 64 * 1024;
     /** Idle time-out between requests. */
     private static final long IDLE_TIMEOUT_NS = 120_000_000_000L;
-    /** Time for the peer to close after the last answer. */
+    /** Time-out for the peer's close after the last answer. */
     private static final long CLOSE_TIMEOUT_NS = 1_000_000_000L;
 
     private final HttpParser parser = new HttpParser(true);
     private final long acceptedNs;
-    /** Also true after the last answer, so that no further request is parsed. */
+    /** Whether a request awaits its answer; stays true after the last answer, so that no further request is parsed. */
     private boolean exchanging;
 
     private boolean parsing;
     private boolean keepAlive = true;
-    /** A part of a request has come, and not all. */
+    /** Whether a part of a request has arrived, but not all of it. */
     private boolean partial;
-    /** At least one whole request has come. */
+    /** Whether at least one complete request has arrived. */
     private boolean used;
 
     private long partialSinceNs;
     private long requestArrivedNs;
     private long endedNs;
 
-    /** Serves an accepted channel. */
+    /** Creates the connection of an accepted channel. */
     protected ServerConnection(EventLoop loop, SocketChannel channel) throws IOException {
         super(loop, channel, HttpParser.MAX_MESSAGE);
         acceptedNs = loop.now();
     }
 
-    /** Callback: a request has come, to be answered by one {@link #respond}. Its slices are void after the call. */
+    /**
+     * Called with a complete request, which must be answered by one call of {@link #respond}. The slices of the request
+     * are valid only during this call.
+     */
     protected abstract void exchange(HttpParser request);
 
-    /** Callback: input that is no well-formed request; it has been answered with the status of {@code why}. */
-    protected abstract void refused(HttpException why);
+    /** Called after input that is not a well-formed request has been answered with the status of {@code cause}. */
+    protected abstract void refused(HttpException cause);
 
-    /** Whether the server is shutting down: each answer then announces the close of its connection. */
+    /** Returns whether the server is shutting down; each answer then announces the close of its connection. */
     protected abstract boolean stopping();
 
     @Override
@@ -78,7 +81,7 @@
             exchanging = true;
             keepAlive = false;
             respond(e.status, "Content-Type: text/plain\r\n", text(e.getMessage()));
-            exchanging = true; // where a next request would begin is unknown
+            exchanging = true; // the start of the next request is unknown
             refused(e);
         } finally {
             parsing = false;
@@ -86,7 +89,7 @@
     }
 
     /**
-     * Answers the exchange under way; ignored where there is none or the connection is closed.
+     * Answers the current exchange. Ignored if there is none or if the connection is closed.
      *
      * @param headers further header lines, each with its CR LF; may be empty
      */
@@ -102,19 +105,19 @@
             endedNs = loop.now();
             endWhenWritten();
         } else if (!parsing) {
-            processBufferedInput(); // the next request may have come meanwhile
+            processBufferedInput(); // the next request may have arrived meanwhile
         }
     }
 
-    /** Between exchanges, so that a client that has closed behind its request is noticed before this is acted on. */
+    /** True between exchanges, so that a client's close after its request is noticed before the request is handled. */
     @Override
     protected final boolean readsUntilPeerCloses() {
         return !exchanging;
     }
 
     /**
-     * During an exchange a full buffer would stop the reading, and the client's close would not be noticed any
-     * more. What follows the request is dropped, and the connection ends with the answer.
+     * True during an exchange: a full buffer would otherwise stop reading, and the client's close would no longer be
+     * noticed. The input after the request is discarded, and the connection closes after the answer.
      */
     @Override
     protected final boolean discardsExcessInput() {
@@ -124,7 +127,7 @@
         return exchanging;
     }
 
-    /** Parses requests that waited until answers were read. */
+    /** Parses the requests that were delayed until the client had read earlier answers. */
     @Override
     protected final void written() {
         if (!exchanging && !parsing) {
@@ -133,24 +136,24 @@
     }
 
     /**
-     * When the last byte of the request under way was read, in ns of the loop's clock: it may have waited in the
-     * buffer behind another request, or while the peer read no answers.
+     * Returns when the last byte of the current request was read, in ns of the loop's clock. The request may have
+     * waited in the buffer since then, behind another request or while the peer did not read its answers.
      */
     protected final long requestArrivedAt() {
         return requestArrivedNs;
     }
 
-    /** Whether no whole request has come yet. */
+    /** Returns whether no complete request has arrived yet. */
     public final boolean unused() {
         return !used && !exchanging;
     }
 
-    /** Whether it is between requests with all answers written, so that a close breaks nothing. */
+    /** Returns whether a close loses nothing: no request is open or partly received, and all answers are written. */
     public final boolean idle() {
         return !exchanging && !partial && unwritten() == 0;
     }
 
-    /** Closes it, unless a request waits unread in the kernel: that one is served. */
+    /** Closes the connection, unless a request is still unread in the kernel; such a request is served. */
     public final void closeUnlessAsked() {
         if (!exchanging) {
             catchUp();
@@ -160,7 +163,7 @@
         }
     }
 
-    /** Enforces the time-outs; to be called regularly with the time of the loop in ns. */
+    /** Enforces the time-outs; the owner calls it regularly with the loop's time in ns. */
     public final void sweep(long now) {
         boolean silent = unused() && !partial && now - acceptedNs > REQUEST_TIMEOUT_NS;
         if (partial && !exchanging && now - partialSinceNs > REQUEST_TIMEOUT_NS) {
@@ -172,12 +175,12 @@
         } else if (unwritten() > 0
                 ? now - lastActivity() > WRITE_STALL_TIMEOUT_NS
                 : ending() && now - Math.max(endedNs, lastActivity()) > CLOSE_TIMEOUT_NS) {
-            // The time to close counts from the last write, however slowly the answer was read.
+            // The time-out for the close starts at the last write, so that a slow reader gets the whole answer.
             fail(new IOException("the peer wastes its connection"));
         }
     }
 
-    /** The body of a plain-text answer: the message and a line feed, in UTF-8. */
+    /** Returns the body of a plain-text answer: the message and a line feed, in UTF-8. */
     protected static byte[] text(String message) {
         return (message + "\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/beechseam/http/Slice.java
+++ b/src/main/java/beechseam/http/Slice.java
@@ -3,14 +3,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A range of bytes in a buffer, read as ISO 8859-1; void once the buffer moves on.
+ * A range of bytes in a buffer, read as ISO 8859-1. It is valid until the buffer changes.
  *
  * @param from index of the first byte in the array
  */
 public record Slice(byte[] bytes, int from, int length) {
     static final Slice EMPTY = new Slice(new byte[0], 0, 0);
 
-    /** Whether it equals this word, ignoring ASCII case; the argument must be in lower case. */
+    /** Returns whether the text equals the argument, ignoring ASCII case; the argument must be in lower case. */
     public boolean is(String lower) {
         if (length != lower.length()) {
             return false;
@@ -24,12 +24,12 @@
         return true;
     }
 
-    /** Whether it equals this ASCII text, case included. */
+    /** Returns whether the text equals this ASCII text; the comparison is case-sensitive. */
     public boolean same(String text) {
         return length == text.length() && startsWith(text);
     }
 
-    /** Whether it is a token (RFC 9110, 5.6.2), as methods and header names are; an empty one is not. */
+    /** Returns whether the text is a token (RFC 9110, 5.6.2), as methods and header names are; an empty one is not. */
     public boolean isToken() {
         for (int i = from; i < from + length; i++) {
             int character = bytes[i];
@@ -44,7 +44,7 @@
         return length > 0;
     }
 
-    /** Whether it is not empty and holds only visible ASCII characters, no blank among them. */
+    /** Returns whether the text is not empty and has only visible ASCII characters, without blanks. */
     public boolean isVisible() {
         for (int i = from; i < from + length; i++) {
             if (bytes[i] <= ' ' || bytes[i] == 127) {
@@ -54,7 +54,7 @@
         return length > 0;
     }
 
-    /** Whether it begins with this ASCII text, case included. */
+    /** Returns whether the text begins with this ASCII text; the comparison is case-sensitive. */
     public boolean startsWith(String text) {
         if (length < text.length()) {
             return false;
@@ -67,17 +67,17 @@
         return true;
     }
 
-    /** Whether it is a comma-separated list with this element, ignoring case. */
-    public boolean lists(String lower) {
+    /** Returns whether the text is a comma-separated list that contains this element, ignoring case. */
+    public boolean listContains(String wanted) {
         for (String element : toString().split(",")) {
-            if (element.trim().equalsIgnoreCase(lower)) {
+            if (element.trim().equalsIgnoreCase(wanted)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Offset of the first such character from the start of this slice, or -1. */
+    /** Returns the offset of the first {@code wanted} character from the start of this slice, or -1. */
     public int indexOf(char wanted) {
         for (int i = 0; i < length; i++) {
             if (bytes[from + i] == wanted) {
@@ -87,12 +87,12 @@
         return -1;
     }
 
-    /** The bytes between two offsets from the start of this slice, {@code end} exclusive; not copied. */
+    /** Returns the bytes between two offsets from the start of this slice, {@code end} exclusive, without a copy. */
     public Slice part(int start, int end) {
         return new Slice(bytes, from + start, end - start);
     }
 
-    /** A copy of the bytes that outlives the buffer. */
+    /** Returns a copy of the bytes, which stays valid when the buffer changes. */
     public byte[] copy() {
         return java.util.Arrays.copyOfRange(bytes, from, from + length);
     }
