--- a/src/test/java/beechseam/http/ChunkedBodyTest.java
+++ b/src/test/java/beechseam/http/ChunkedBodyTest.java
@@ -11,7 +11,7 @@
     }
 
     @Test
-    void chunksAreJoinedOnceTheLastHasCome() throws HttpException {
+    void chunksAreJoinedOnceTheLastHasArrived() throws HttpException {
         byte[] message = bytes("head3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: t\r\n\r\nnext");
         int end = message.length - "next".length();
         ChunkedBody chunks = new ChunkedBody(100, 100);
@@ -26,12 +26,12 @@
     @Test
     void dataAndFramingAreLimitedSeparately() {
         byte[] data = bytes("5\r\nhello\r\n0\r\n\r\n");
-        HttpException tooLong =
+        HttpException dataTooLong =
                 assertThrows(HttpException.class, () -> new ChunkedBody(4, 100).decode(data, 0, 0, data.length));
-        assertEquals("a body of 5 bytes or more; 4 is the most", tooLong.getMessage());
-        HttpException framing =
+        assertEquals("a body of 5 bytes or more; 4 is the most", dataTooLong.getMessage());
+        HttpException framingTooLong =
                 assertThrows(HttpException.class, () -> new ChunkedBody(5, 7).decode(data, 0, 0, data.length));
-        assertEquals(413, framing.status);
-        assertEquals("chunks whose frames take 8 bytes or more; 7 is the most", framing.getMessage());
+        assertEquals(413, framingTooLong.status);
+        assertEquals("chunks whose frames take 8 bytes or more; 7 is the most", framingTooLong.getMessage());
     }
 }
--- a/src/test/java/beechseam/http/HeaderTableTest.java
+++ b/src/test/java/beechseam/http/HeaderTableTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void valuesAreTrimmedAndFoundWhateverTheCaseOfTheName() throws HttpException {
+    void valuesAreTrimmedAndNamesAreCaseInsensitive() throws HttpException {
         HeaderTable headers = new HeaderTable();
         add(headers, "X-Id: \t7 ");
         add(headers, "x-id:8");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void headersAreLimited() throws HttpException {
+    void headerCountIsLimited() throws HttpException {
         HeaderTable headers = new HeaderTable();
         for (int i = 0; i < 64; i++) {
             add(headers, "A: b");
--- a/src/test/java/beechseam/http/HttpParserTest.java
+++ b/src/test/java/beechseam/http/HttpParserTest.java
@@ -43,7 +43,7 @@
         }
     }
 
-    /** However a sequence of requests is fragmented, the same requests are parsed. */
+    /** A sequence of requests is split at random offsets; the parsed requests must not depend on the split. */
     @Property(seed = "8081", tries = 300)
     void messagesDoNotDependOnFragmentation(@ForAll long seed) throws HttpException {
         Random random = new Random(seed);
@@ -55,7 +55,7 @@
             appendRequest(sent, i, body, random);
         }
         HttpParser parser = new HttpParser(true);
-        List<String> got = new ArrayList<>();
+        List<String> parsed = new ArrayList<>();
         ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
         for (int at = 0; at < sent.length(); ) {
             int end = Math.min(sent.length(), at + 1 + random.nextInt(30));
@@ -64,11 +64,11 @@
             buffer.flip();
             while (buffer.hasRemaining() && parser.parse(buffer)) {
                 assertTrue(parser.method().same("POST"));
-                got.add(parser.target() + " " + parser.header("x-id") + " " + parser.body());
+                parsed.add(parser.target() + " " + parser.header("x-id") + " " + parser.body());
             }
             buffer.compact();
         }
-        assertEquals(expected, got);
+        assertEquals(expected, parsed);
     }
 
     @ParameterizedTest
@@ -84,7 +84,7 @@
                 "400 | GET / HTTP/1.1~Name : x~~",
                 "400 | GET / HTTP/1.1~A: b~ folded: c~~",
                 "505 | GET / HTTP/1.9~~",
-                "400 | GET / HTTP/1.1~Na^me: x~~", // bare line ends and odd bytes: peers read such a line otherwise
+                "400 | GET / HTTP/1.1~Na^me: x~~", // bare line ends and invalid bytes: peers parse them differently
                 "400 | GET / HTTP/1.1~Na me: x~~",
                 "400 | GET / HTTP/1.1~A: b^Content-Length: 5~~",
                 "400 | GET / HTTP/1.1~A: b@C: d~~",
@@ -121,15 +121,17 @@
     }
 
     @Test
-    void oversizedHeadsFailBeforeTheyEnd() {
-        String long431 = "GET / HTTP/1.1\r\nX: " + "y".repeat(HttpParser.MAX_HEAD);
-        assertEquals(431, assertThrows(HttpException.class, () -> new HttpParser(true).parse(bytes(long431))).status);
-        String many = "GET / HTTP/1.1\r\n" + "X: y\r\n".repeat(65) + "\r\n";
-        assertEquals(431, assertThrows(HttpException.class, () -> new HttpParser(true).parse(bytes(many))).status);
+    void oversizedHeadsFailBeforeTheyAreComplete() {
+        String tooLongHead = "GET / HTTP/1.1\r\nX: " + "y".repeat(HttpParser.MAX_HEAD);
+        assertEquals(
+                431, assertThrows(HttpException.class, () -> new HttpParser(true).parse(bytes(tooLongHead))).status);
+        String tooManyHeaders = "GET / HTTP/1.1\r\n" + "X: y\r\n".repeat(65) + "\r\n";
+        assertEquals(
+                431, assertThrows(HttpException.class, () -> new HttpParser(true).parse(bytes(tooManyHeaders))).status);
     }
 
     @Test
-    void keepAliveOfResponses() throws HttpException {
+    void keepAliveOfResponsesFollowsVersionAndHeaders() throws HttpException {
         HttpParser parser = new HttpParser(false);
         assertTrue(parser.parse(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")));
         assertEquals(202, parser.status());
--- a/src/test/java/beechseam/net/ConnectionTest.java
+++ b/src/test/java/beechseam/net/ConnectionTest.java
@@ -16,53 +16,56 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionTest {
-    /** Counts the calls of {@link #lost} and of {@link #released}. */
+    /** Counts the calls of {@link #lost} in element 0 and of {@link #released} in element 1 of an array. */
     private abstract static class CountingConnection extends Connection {
-        private final int[] ends;
+        private final int[] callCounts;
 
-        CountingConnection(EventLoop loop, int maxReadBytes, int[] ends) throws IOException {
+        CountingConnection(EventLoop loop, int maxReadBytes, int[] callCounts) throws IOException {
             super(loop, null, maxReadBytes);
-            this.ends = ends;
+            this.callCounts = callCounts;
         }
 
         @Override
-        protected void lost(IOException why) {
-            ends[0]++;
+        protected void lost(IOException cause) {
+            callCounts[0]++;
         }
 
         @Override
         protected void released() {
-            ends[1]++;
+            callCounts[1]++;
         }
     }
 
-    /** The first start on the bench crashed here: the discovery client wrote before its connect was done. */
+    /** Guards against a crash at startup: the discovery client wrote before its connection was established. */
     @Test
     void outputWrittenWhileConnectingIsSentOnceConnected() {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> accepted = new ArrayList<>();
-            Loopback.Peer early = net.connect(net.listen(accepted)).send("early");
+            Loopback.Peer client = net.connect(net.listen(accepted)).send("early");
             net.until(
-                    "the bytes",
+                    "the output",
                     () -> accepted.size() == 1 && accepted.get(0).receivedText().equals("early"));
-            assertFalse(early.disconnected);
+            assertFalse(client.disconnected);
         }
     }
 
-    /** Random steps of both ends against a model: bytes in order, one close, nothing after it. */
+    /**
+     * Performs random steps at both ends of a connection and compares the result with a model: the bytes arrive in
+     * order, the close is reported once, and nothing arrives after it.
+     */
     @Property(seed = "77", tries = 60)
     void outputArrivesInOrderAndCloseIsReportedOnce(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> far = new ArrayList<>();
             StringBuilder sent = new StringBuilder();
-            int[] ends = {0, 0}; // told of the loss, counted out
-            Connection near = new CountingConnection(net.loop, 64 * 1024, ends) {
+            int[] callCounts = {0, 0};
+            Connection near = new CountingConnection(net.loop, 64 * 1024, callCounts) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     assertFalse(closed());
-                    int some = Math.min(bytes.remaining(), 1 + random.nextInt(100)); // the rest is kept
-                    bytes.position(bytes.position() + some);
+                    int consumed = Math.min(bytes.remaining(), 1 + random.nextInt(100)); // the rest stays buffered
+                    bytes.position(bytes.position() + consumed);
                 }
             };
             boolean closing = false;
@@ -90,45 +93,49 @@
                     }
                 }
             }
-            net.until("the connect", () -> far.size() == 1 || near.closed());
+            net.until("the connection", () -> far.size() == 1 || near.closed());
             if (!closing && !near.closed() && !far.get(0).closed()) {
                 net.until("all bytes", () -> far.get(0).receivedText().length() == sent.length());
                 assertEquals(sent.toString(), far.get(0).receivedText());
             }
             near.closeWhenWritten();
-            net.until("the end", near::closed);
+            net.until("the close", near::closed);
             near.close();
             near.write(ByteBuffer.wrap(new byte[] {1}));
             net.settle(1);
-            assertEquals(1, ends[1], "counted out once");
-            assertTrue(ends[0] <= 1, "told at most once");
-            assertTrue(far.isEmpty() || sent.toString().startsWith(far.get(0).receivedText()), "nothing else came");
+            assertEquals(1, callCounts[1], "released once");
+            assertTrue(callCounts[0] <= 1, "lost at most once");
+            assertTrue(
+                    far.isEmpty() || sent.toString().startsWith(far.get(0).receivedText()), "only sent bytes arrive");
         }
     }
 
-    /** Hundreds of peers that each send half a message must not fill the heap: the one over the limit is closed. */
+    /**
+     * Guards against a heap filled by hundreds of peers that each send half a message: the connection that would exceed
+     * the shared limit is closed.
+     */
     @Test
     void largeReadBuffersShareOneLimit() throws IOException {
         Buffers buffers = new Buffers(5 * 16 * 1024);
-        List<ByteBuffer> lent = new ArrayList<>();
+        List<ByteBuffer> borrowed = new ArrayList<>();
         for (ByteBuffer larger; (larger = buffers.grow(buffers.acquire().put((byte) 7), 16 * 1024)) != null; ) {
-            assertEquals(1, larger.position(), "it holds what the other held");
-            lent.add(larger);
+            assertEquals(1, larger.position(), "the larger buffer has the content of the smaller one");
+            borrowed.add(larger);
         }
-        assertEquals(5, lent.size());
-        buffers.release(lent.remove(0));
-        assertNotNull(buffers.grow(buffers.acquire(), 16 * 1024), "what is given back is lent again");
+        assertEquals(5, borrowed.size());
+        buffers.release(borrowed.remove(0));
+        assertNotNull(buffers.grow(buffers.acquire(), 16 * 1024), "released memory is available again");
         EventLoop loop = new EventLoop(new Buffers(0));
         try (ServerSocketChannel server = ServerSocketChannel.open().bind(Loopback.anyPort())) {
             boolean[] lost = {false};
             Connection near = new Connection(loop, null, 64 * 1024) {
                 @Override
                 protected void received(ByteBuffer bytes) {
-                    assertTrue(bytes.remaining() <= Buffers.SIZE); // and uses none of it
+                    assertTrue(bytes.remaining() <= Buffers.SIZE); // consumes nothing
                 }
 
                 @Override
-                protected void lost(IOException why) {
+                protected void lost(IOException cause) {
                     lost[0] = true;
                 }
             };
@@ -143,23 +150,23 @@
         }
     }
 
-    /** An exception while reading costs only its own connection, and the owner is notified. */
+    /** An exception in {@code received} closes only that connection, and its owner is notified. */
     @Test
     void exceptionInCallbackClosesConnectionAndNotifiesOwner() throws IOException {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> far = new ArrayList<>();
-            int[] ends = {0, 0};
-            Connection near = new CountingConnection(net.loop, 1024, ends) {
+            int[] callCounts = {0, 0};
+            Connection near = new CountingConnection(net.loop, 1024, callCounts) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     throw new IllegalStateException("test");
                 }
             };
             near.connect(net.listen(far));
-            net.until("the connect", () -> far.size() == 1);
+            net.until("the connection", () -> far.size() == 1);
             far.get(0).send("x");
-            net.until("the end", () -> far.get(0).disconnected);
-            assertArrayEquals(new int[] {1, 1}, ends);
+            net.until("the close", () -> far.get(0).disconnected);
+            assertArrayEquals(new int[] {1, 1}, callCounts);
         }
     }
 
@@ -167,14 +174,14 @@
     void failedConnectIsReportedOnce() {
         try (Loopback net = new Loopback()) {
             List<Loopback.Peer> accepted = new ArrayList<>();
-            java.net.InetSocketAddress free;
+            java.net.InetSocketAddress unusedAddress;
             try (Loopback other = new Loopback()) {
-                free = other.listen(accepted);
+                unusedAddress = other.listen(accepted);
             }
-            Loopback.Peer refused = net.connect(free).send("never");
-            net.until("the refusal", () -> refused.disconnected);
-            assertTrue(refused.closed());
-            assertEquals(5, refused.unwritten(), "none of it has gone out");
+            Loopback.Peer client = net.connect(unusedAddress).send("never");
+            net.until("the refused connect", () -> client.disconnected);
+            assertTrue(client.closed());
+            assertEquals(5, client.unwritten(), "no byte has been written");
         }
     }
 }
--- a/src/test/java/beechseam/net/InboundBufferTest.java
+++ b/src/test/java/beechseam/net/InboundBufferTest.java
@@ -33,7 +33,7 @@
         inbound.flip().position(2);
         inbound.compact();
         assertTrue(inbound.isEmpty());
-        assertEquals(0, inbound.arrivedAt(0, 0), "nothing is known once all is consumed");
+        assertEquals(0, inbound.arrivedAt(0, 0), "the default applies once all bytes are consumed");
     }
 
     @Test
--- a/src/test/java/beechseam/net/OutboundQueueTest.java
+++ b/src/test/java/beechseam/net/OutboundQueueTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 class OutboundQueueTest {
-    /** Accepts up to a number of bytes and notes the length of each write offered. */
+    /** Accepts a limited number of bytes and records the length of each write. */
     private static final class LimitedChannel implements WritableByteChannel {
-        private final List<Integer> offered = new ArrayList<>();
+        private final List<Integer> writeLengths = new ArrayList<>();
         private int capacity;
 
         LimitedChannel(int capacity) {
@@ -21,7 +21,7 @@
 
         @Override
         public int write(ByteBuffer source) {
-            offered.add(source.remaining());
+            writeLengths.add(source.remaining());
             int accepted = Math.min(capacity, source.remaining());
             source.position(source.position() + accepted);
             capacity -= accepted;
@@ -48,7 +48,7 @@
         while (!queue.isEmpty()) {
             assertTrue(queue.writeNext(channel));
         }
-        assertEquals(List.of(30, OutboundQueue.MAX_WRITE_BYTES, 1), channel.offered);
+        assertEquals(List.of(30, OutboundQueue.MAX_WRITE_BYTES, 1), channel.writeLengths);
         assertEquals(0, queue.pendingBytes());
     }
 
--- a/src/test/java/beechseam/net/RetryBackoffTest.java
+++ b/src/test/java/beechseam/net/RetryBackoffTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void pauseIsBoundedWhereTheBoundIsNoMultipleOfTheFirst() {
+    void pauseIsLimitedIfTheLimitIsNoMultipleOfTheFirst() {
         RetryBackoff uneven = new RetryBackoff(3, 10);
         for (long expectedNs : new long[] {3, 6, 10, 10}) {
             assertEquals(expectedNs, uneven.nextPauseNs());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void failuresAreCountedApartFromPauses() {
+    void failuresAreCountedSeparatelyFromPauses() {
         assertTrue(backoff.recordFailure());
         assertFalse(backoff.recordFailure());
         assertEquals(0, backoff.pauseNs());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void successReturnsTheCountAndStartsAgain() {
+    void successReturnsTheFailureCountAndResetsThePause() {
         assertEquals(0, backoff.recordSuccess());
         backoff.recordFailure();
         backoff.nextPauseNs();
--- a/src/test/java/beechseam/ops/AdminEndpointTest.java
+++ b/src/test/java/beechseam/ops/AdminEndpointTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The admin endpoint in front of a node that records the calls it gets. */
+/** Tests the admin endpoint with operations that record the calls. */
 class AdminEndpointTest {
     private final Loopback net = new Loopback();
     private final List<String> received = new ArrayList<>();
@@ -57,11 +57,11 @@
 
     private String call(String line) {
         Peer peer = net.connect(address).send(line);
-        net.until("the end of " + line, () -> peer.disconnected);
+        net.until("the close after " + line, () -> peer.disconnected);
         return peer.receivedText();
     }
 
-    /** Calls come cut anywhere, with either line end and odd blanks, and each gets one line and a close. */
+    /** A call may be split anywhere, with either line end and a trailing blank; it gets one answer, then a close. */
     @Property(seed = "11", tries = 60)
     void callIsParsedHoweverItIsSegmented(@ForAll long seed) {
         Random random = new Random(seed);
@@ -93,14 +93,15 @@
             from = to;
             net.settle(from < 20 && random.nextBoolean() ? 1 : 0);
         }
-        net.until("the end", () -> peer.disconnected);
+        net.until("the close", () -> peer.disconnected);
         String expected = index == 0 ? "ERR not yet\n" : index == 3 ? "svc.current=1\nEND\n" : "OK\n";
         assertEquals(expected, index < 6 ? peer.receivedText() : expected);
         assertTrue(index < 6 || peer.receivedText().matches("ERR [^\n]+\n"), peer.receivedText());
-        assertEquals(index < 6 ? List.of(calls[index]) : List.of(), received, "one call, and only a proper one");
+        assertEquals(
+                index < 6 ? List.of(calls[index]) : List.of(), received, "exactly one call if it is valid, else none");
     }
 
-    /** Callers that connect and never finish must not keep the next one waiting. */
+    /** Guards against clients that never finish their call: new calls are still answered. */
     @Test
     void unfinishedCallsDoNotBlockNewOnes() {
         List<Peer> idle = new ArrayList<>();
@@ -108,9 +109,9 @@
             idle.add(net.connect(address).send("sta"));
         }
         assertEquals("OK\n", call("active\n"));
-        net.until("the oldest to go", () -> idle.get(0).disconnected);
+        net.until("the close of the oldest connection", () -> idle.get(0).disconnected);
         assertFalse(idle.get(39).disconnected);
         idle.get(39).send("tus\n");
-        net.until("its answer", () -> idle.get(39).receivedText().equals("ERR not yet\n"));
+        net.until("the answer", () -> idle.get(39).receivedText().equals("ERR not yet\n"));
     }
 }
--- a/src/test/java/beechseam/ops/HandoverLinkTest.java
+++ b/src/test/java/beechseam/ops/HandoverLinkTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The link between two processes of a node, with as much learned state as a large fleet makes. */
+/** Tests the link between two processes of a node with the amount of learned state of a large fleet. */
 class HandoverLinkTest {
     private static final int PIECES = 40;
 
     private final Loopback net = new Loopback();
 
-    /** Records the sizes of the pieces it gets, and hands over pieces of the largest size. */
+    /** Hands over pieces of the largest size, and records the sizes of the pieces that it receives. */
     private static final class TestProcess implements HandoverLink.Process {
         private final List<Integer> receivedBytes = new ArrayList<>();
 
@@ -55,17 +55,17 @@
         net.close();
     }
 
-    /** All of it is queued before the successor has read a byte: 5 MB here. */
+    /** All learned state, here 5 MB, is queued before the successor has read a byte; the connection must stay open. */
     @Test
     void learnedStateMayExceedTheWriteLimit(@TempDir Path directory) {
-        HandoverLink predecessor = new HandoverLink(net.loop, directory, "n", new TestProcess());
+        HandoverLink predecessorLink = new HandoverLink(net.loop, directory, "n", new TestProcess());
         TestProcess successor = new TestProcess();
-        HandoverLink link = new HandoverLink(net.loop, directory, "n", successor);
-        net.until("the whole state", () -> !link.awaitsPeerState());
+        HandoverLink successorLink = new HandoverLink(net.loop, directory, "n", successor);
+        net.until("the complete state", () -> !successorLink.awaitsPeerState());
         assertEquals(PIECES, successor.receivedBytes.size());
         assertTrue(successor.receivedBytes.stream().allMatch(each -> each == HandoverLink.MAX_PIECE_BYTES));
-        assertEquals(1, link.peerCount());
-        predecessor.close();
-        link.close();
+        assertEquals(1, successorLink.peerCount());
+        predecessorLink.close();
+        successorLink.close();
     }
 }
--- a/src/test/java/beechseam/ops/MaintenanceFileTest.java
+++ b/src/test/java/beechseam/ops/MaintenanceFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The maintenance file, written by one process and read by the next. */
+/** Tests the maintenance file, which one process writes and the next one reads. */
 class MaintenanceFileTest {
     @TempDir
     private Path directory;
@@ -18,16 +18,16 @@
     @Test
     void entriesAreReadBackAndNoTemporaryFileRemains() throws Exception {
         MaintenanceFile file = new MaintenanceFile(directory, "n");
-        assertNull(file.read(), "nothing was ever written");
+        assertNull(file.read(), "no file has been written yet");
         assertTrue(file.write(Map.of("s-1", 7L)) && file.write(Map.of("s-1", 0L, "s-\"2", 1L << 60)));
         assertEquals(Map.of("s-1", 0L, "s-\"2", 1L << 60), new MaintenanceFile(directory, "n").read());
         assertNull(new MaintenanceFile(directory, "other").read());
         try (var files = Files.list(directory)) {
-            assertEquals(1, files.count(), "the temporary file is moved");
+            assertEquals(1, files.count(), "the temporary file is renamed");
         }
     }
 
-    /** A truncated or foreign file must not keep a node from starting. */
+    /** Guards against a node that cannot start because the file is truncated or has other content. */
     @ParameterizedTest
     @ValueSource(strings = {"", "{\"s-1\":", "[]", "{\"s-1\":\"now\"}", "\u0000\u0001"})
     void invalidFileIsIgnored(String text) throws Exception {
@@ -37,6 +37,6 @@
             Files.writeString(files.findFirst().orElseThrow(), text);
         }
         assertNull(file.read());
-        assertFalse(new MaintenanceFile(directory.resolve("gone"), "n").write(Map.of("s-1", 0L)));
+        assertFalse(new MaintenanceFile(directory.resolve("missing"), "n").write(Map.of("s-1", 0L)));
     }
 }
--- a/src/test/java/beechseam/ops/RecordedMaintenanceFileTest.java
+++ b/src/test/java/beechseam/ops/RecordedMaintenanceFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The maintenance file that a process of 16ef30c left behind binds its successor, and goes back unchanged. */
+/** Checks that the maintenance file of a process of version 16ef30c is read, and written again with the same bytes. */
 class RecordedMaintenanceFileTest {
     private static final String NODE = "127.0.0.1:8080";
     private static final String FILE_NAME = "beechseam-127.0.0.1:8080-maintenance.json";
@@ -31,9 +31,9 @@
         Files.write(directory.resolve(FILE_NAME), Recordings.read("maintenance.json"));
         Map<String, Long> read = new MaintenanceFile(directory, NODE).read();
         assertEquals(recordedEntries(), read);
-        Path next = Files.createDirectory(directory.resolve("next"));
-        assertTrue(new MaintenanceFile(next, NODE).write(read));
-        assertArrayEquals(Recordings.read("maintenance.json"), Files.readAllBytes(next.resolve(FILE_NAME)));
+        Path otherDirectory = Files.createDirectory(directory.resolve("next"));
+        assertTrue(new MaintenanceFile(otherDirectory, NODE).write(read));
+        assertArrayEquals(Recordings.read("maintenance.json"), Files.readAllBytes(otherDirectory.resolve(FILE_NAME)));
     }
 
     @Test
