--- a/src/test/java/beechseam/net/ConnectionTest.java
+++ b/src/test/java/beechseam/net/ConnectionTest.java
@@ -57,10 +57,10 @@
     void outputArrivesInOrderAndCloseIsReportedOnce(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         try (Loopback net = new Loopback()) {
-            List<Loopback.Peer> far = new ArrayList<>();
+            List<Loopback.Peer> accepted = new ArrayList<>();
             StringBuilder sent = new StringBuilder();
             int[] callCounts = {0, 0};
-            Connection near = new CountingConnection(net.loop, 64 * 1024, callCounts) {
+            Connection client = new CountingConnection(net.loop, 64 * 1024, callCounts) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     assertFalse(closed());
@@ -69,44 +69,46 @@
                 }
             };
             boolean closing = false;
-            near.connect(net.listen(far));
+            client.connect(net.listen(accepted));
             for (int step = 0; step < 30; step++) {
                 switch (random.nextInt(8)) {
                     case 0, 1, 2 -> {
                         String part = "x".repeat(random.nextInt(3000)) + step;
-                        near.write(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
-                        sent.append(near.closed() || closing ? "" : part);
+                        client.write(ByteBuffer.wrap(part.getBytes(StandardCharsets.ISO_8859_1)));
+                        sent.append(client.closed() || closing ? "" : part);
                     }
-                    case 3 -> far.forEach(each -> each.send("y".repeat(random.nextInt(9000))));
-                    case 4 -> near.processBufferedInput();
+                    case 3 -> accepted.forEach(each -> each.send("y".repeat(random.nextInt(9000))));
+                    case 4 -> client.processBufferedInput();
                     case 5 -> net.settle(1);
                     case 6 -> {
                         if (random.nextInt(6) == 0 && !closing) {
                             closing = true;
-                            near.closeWhenWritten();
+                            client.closeWhenWritten();
                         }
                     }
                     default -> {
                         if (random.nextInt(12) == 0) {
-                            far.forEach(Connection::close);
+                            accepted.forEach(Connection::close);
                         }
                     }
                 }
             }
-            net.until("the connection", () -> far.size() == 1 || near.closed());
-            if (!closing && !near.closed() && !far.get(0).closed()) {
-                net.until("all bytes", () -> far.get(0).receivedText().length() == sent.length());
-                assertEquals(sent.toString(), far.get(0).receivedText());
+            net.until("the connection", () -> accepted.size() == 1 || client.closed());
+            if (!closing && !client.closed() && !accepted.get(0).closed()) {
+                net.until("all bytes", () -> accepted.get(0).receivedText().length() == sent.length());
+                assertEquals(sent.toString(), accepted.get(0).receivedText());
             }
-            near.closeWhenWritten();
-            net.until("the close", near::closed);
-            near.close();
-            near.write(ByteBuffer.wrap(new byte[] {1}));
+            client.closeWhenWritten();
+            net.until("the close", client::closed);
+            client.close();
+            client.write(ByteBuffer.wrap(new byte[] {1}));
             net.settle(1);
             assertEquals(1, callCounts[1], "released once");
             assertTrue(callCounts[0] <= 1, "lost at most once");
             assertTrue(
-                    far.isEmpty() || sent.toString().startsWith(far.get(0).receivedText()), "only sent bytes arrive");
+                    accepted.isEmpty()
+                            || sent.toString().startsWith(accepted.get(0).receivedText()),
+                    "only sent bytes arrive");
         }
     }
 
@@ -128,7 +130,7 @@
         EventLoop loop = new EventLoop(new Buffers(0));
         try (ServerSocketChannel server = ServerSocketChannel.open().bind(Loopback.anyPort())) {
             boolean[] lost = {false};
-            Connection near = new Connection(loop, null, 64 * 1024) {
+            Connection client = new Connection(loop, null, 64 * 1024) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     assertTrue(bytes.remaining() <= Buffers.SIZE); // consumes nothing
@@ -139,9 +141,9 @@
                     lost[0] = true;
                 }
             };
-            near.connect(server.getLocalAddress());
-            try (SocketChannel far = server.accept()) {
-                far.write(ByteBuffer.allocate(Buffers.SIZE + 1));
+            client.connect(server.getLocalAddress());
+            try (SocketChannel acceptedChannel = server.accept()) {
+                acceptedChannel.write(ByteBuffer.allocate(Buffers.SIZE + 1));
                 for (int i = 0; i < 2000 && !lost[0]; i++) {
                     loop.turn(10_000_000L);
                 }
@@ -154,18 +156,18 @@
     @Test
     void exceptionInCallbackClosesConnectionAndNotifiesOwner() throws IOException {
         try (Loopback net = new Loopback()) {
-            List<Loopback.Peer> far = new ArrayList<>();
+            List<Loopback.Peer> accepted = new ArrayList<>();
             int[] callCounts = {0, 0};
-            Connection near = new CountingConnection(net.loop, 1024, callCounts) {
+            Connection client = new CountingConnection(net.loop, 1024, callCounts) {
                 @Override
                 protected void received(ByteBuffer bytes) {
                     throw new IllegalStateException("test");
                 }
             };
-            near.connect(net.listen(far));
-            net.until("the connection", () -> far.size() == 1);
-            far.get(0).send("x");
-            net.until("the close", () -> far.get(0).disconnected);
+            client.connect(net.listen(accepted));
+            net.until("the connection", () -> accepted.size() == 1);
+            accepted.get(0).send("x");
+            net.until("the close", () -> accepted.get(0).disconnected);
             assertArrayEquals(new int[] {1, 1}, callCounts);
         }
     }
