--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -153,7 +153,7 @@
         }
         GearmanFunction function = server.function(name, connection);
         if (function != null
-                && function.of(mode).idempotency() == Idempotency.KEYED
+                && function.jobClass(mode).idempotency() == Idempotency.KEYED
                 && args.text(1).isEmpty()) {
             connection.error("NO_KEY", "jobs of this function need a unique key");
             return null;
@@ -169,7 +169,7 @@
             return null;
         }
         // Bytes of the whole packet where its array is kept, and what the job costs besides.
-        int charge = Jobs.OVERHEAD + args.length(workload) + args.length(1);
+        int charge = Jobs.OVERHEAD_BYTES + args.length(workload) + args.length(1);
         Rejection rejection = server.admission.check(
                 server.jobs.size(), open, function.queues, mode.ordinal(), charge, server.budget);
         if (rejection != null) {
@@ -177,9 +177,9 @@
             return null;
         }
         GearmanJob job = new GearmanJob(
-                server.jobs.next(),
+                server.jobs.nextNumber(),
                 function,
-                new GearmanJob.Submission(args.text(1), key, args.kept(workload), mode, reducer, this, charge));
+                new GearmanJob.Submission(args.text(1), key, args.retained(workload), mode, reducer, this, charge));
         server.jobs.add(job);
         open++;
         function.alive++;
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -94,7 +94,7 @@
         hasReceived = true;
         boolean more = true;
         while (more && in.hasRemaining() && !paused()) { // packets and lines may follow each other in any order
-            more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : line(in);
+            more = decoder.insideLongPacket() || in.get(in.position()) == 0 ? decoder.next(in) : line(in);
         }
     }
 
@@ -212,7 +212,7 @@
     }
 
     private void echo(Arguments args) {
-        ByteBuffer data = args.kept(0);
+        ByteBuffer data = args.retained(0);
         if (data.remaining() > IN_PLACE) {
             write(Packet.ECHO_RES.responseBefore(data.remaining()), data);
         } else {
@@ -289,7 +289,7 @@
 
     /** A peer that stops within a packet, or takes nothing that is written, is cut off; idle ones stay. */
     void sweep(long now, long stallNs) {
-        boolean within = (hasUnused() || decoder.within()) && !readingPaused();
+        boolean within = (hasUnused() || decoder.insideLongPacket()) && !readingPaused();
         if ((within || unwritten() > 0 || ending()) && now - lastActivity() > stallNs) {
             close();
         }
--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -85,7 +85,7 @@
         workers = new FunctionWorkers(this, server.config.bounds().targets());
     }
 
-    JobClass of(Mode mode) {
+    JobClass jobClass(Mode mode) {
         return settings.of(mode);
     }
 
@@ -120,7 +120,7 @@
 
     /** When a queued job goes to the dispatcher whether a worker is available or not, in nanoseconds. */
     private long submitByNs(GearmanJob job) {
-        long budget = of(job.mode).deadlineNs();
+        long budget = jobClass(job.mode).deadlineNs();
         return job.enqueuedAtNs + budget - Math.min(leadNs, budget / 2);
     }
 
@@ -191,7 +191,7 @@
     private void submit(GearmanJob job) {
         job.stage = GearmanJob.Stage.DISPATCHED;
         unplaced++;
-        long remainingNs = Math.max(1, job.enqueuedAtNs + of(job.mode).deadlineNs() - server.loop.now());
+        long remainingNs = Math.max(1, job.enqueuedAtNs + jobClass(job.mode).deadlineNs() - server.loop.now());
         // A first attempt for the dispatcher: that less time than usual remains is the queue's doing.
         job.request = engine.submit(job.handle(), new Job(0, job.mode.ordinal(), remainingNs, 0, 1, 0, true), job, job);
     }
--- a/src/main/java/beechseam/gearman/HeldJob.java
+++ b/src/main/java/beechseam/gearman/HeldJob.java
@@ -15,7 +15,7 @@
     /** In nanoseconds of the host's clock. */
     final long startedAtNs;
     /** It has reported an exception; unless it says otherwise that was the end. */
-    boolean excepted;
+    boolean exceptionReported;
 
     private Timer timeLimit;
 
--- a/src/main/java/beechseam/gearman/Jobs.java
+++ b/src/main/java/beechseam/gearman/Jobs.java
@@ -25,7 +25,7 @@
     }
 
     /** What a job costs besides its workload, in bytes, as seen by measurement with keys of ten letters. */
-    static final int OVERHEAD = 400;
+    static final int OVERHEAD_BYTES = 400;
 
     private final String prefix;
     private final ByteBudget budget;
@@ -87,7 +87,7 @@
         return unique.isEmpty() ? null : byKey.get(unique);
     }
 
-    long next() {
+    long nextNumber() {
         return accepted + 1;
     }
 
--- a/src/main/java/beechseam/gearman/WorkerSession.java
+++ b/src/main/java/beechseam/gearman/WorkerSession.java
@@ -188,7 +188,7 @@
             return;
         }
         for (HeldJob heldJob : new ArrayList<>(heldJobs.values())) {
-            if (heldJob.excepted) {
+            if (heldJob.exceptionReported) {
                 end(heldJob, Outcome.ERROR);
             } else if (server.config.bounds().slots() == 1) {
                 end(heldJob, Outcome.LOST);
@@ -338,7 +338,7 @@
         switch (kind) {
             case WORK_COMPLETE -> {
                 if (current && job.result == null) {
-                    job.result = args.kept(1);
+                    job.result = args.retained(1);
                 }
                 end(heldJob, Outcome.SERVED);
             }
@@ -347,14 +347,14 @@
                 if (current && job.forwardsFor(heldJob.attempt)) {
                     job.numerator = args.text(1);
                     job.denominator = args.text(2);
-                    job.forward(kind, args.kept(2), args.text(0), job.numerator);
+                    job.forward(kind, args.retained(2), args.text(0), job.numerator);
                     heldJob.reportProgress();
                 }
             }
             default -> {
-                heldJob.excepted |= kind == Packet.WORK_EXCEPTION;
+                heldJob.exceptionReported |= kind == Packet.WORK_EXCEPTION;
                 if (current && job.forwardsFor(heldJob.attempt)) {
-                    job.forward(kind, args.kept(1), args.text(0));
+                    job.forward(kind, args.retained(1), args.text(0));
                     server.throttleForClients(connection, job);
                 }
             }
--- a/src/main/java/beechseam/gearman/protocol/Arguments.java
+++ b/src/main/java/beechseam/gearman/protocol/Arguments.java
@@ -70,7 +70,7 @@
     }
 
     /** Argument i as a buffer that outlives the packet: its own array is kept, any other copied. */
-    public ByteBuffer kept(int i) {
+    public ByteBuffer retained(int i) {
         return owned ? ByteBuffer.wrap(array, starts[i], length(i)) : ByteBuffer.wrap(bytes(i));
     }
 
--- a/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
+++ b/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
@@ -85,7 +85,7 @@
     }
 
     /** Whether a packet has begun and is not whole, in an array of its own or as bytes to drop. */
-    public boolean within() {
+    public boolean insideLongPacket() {
         return state == State.LONG_BODY || state == State.SKIPPING;
     }
 
