--- a/src/main/java/beechseam/gearman/FunctionWorkers.java
+++ b/src/main/java/beechseam/gearman/FunctionWorkers.java
@@ -16,30 +16,30 @@
 import java.util.Map;
 
 /**
- * The workers of one function as egress targets of its engine: each target is a group of workers that are
- * alike. It announces groups to the dispatcher, gives attempts to workers of the group chosen, and reports
- * how they ended. While the function is suspended nothing is announced.
+ * The workers of one function as egress targets of its engine; each target is a group of similar workers. This
+ * class announces the groups to the dispatcher, assigns each attempt to a worker of the chosen group and reports
+ * how the attempt ended. Nothing is announced while the function is suspended.
  */
 final class FunctionWorkers implements Egress {
     /**
-     * Between two reports of a group's load. To date a report the dispatcher goes through all that it sent
-     * the group in the last seconds: with one at each end, a worker of 5,000 jobs a second cost 800 µs of CPU
-     * a job.
+     * The shortest time between two load reports of a group. To date a report, the dispatcher iterates over all
+     * attempts that it sent to the group in the last seconds: with a report at the end of each job, a worker that
+     * ran 5,000 jobs a second cost 800 µs of CPU per job.
      */
     private static final long REPORT_GAP_NS = 250_000_000L;
 
     final WorkerGroups<WorkerSession> groups;
     private final GearmanFunction function;
-    /** Attempts that a group was given beyond its available workers, by group; most of the time none. */
+    /** Attempts that wait for an available worker, by the id of their group; empty most of the time. */
     private final Map<Long, ArrayDeque<Attempt>> pending = new HashMap<>();
 
-    /** @param maxTargets targets that workers are spread over before they share */
+    /** @param maxTargets number of targets up to which each worker has a target of its own */
     FunctionWorkers(GearmanFunction function, int maxTargets) {
         this.function = function;
         groups = new WorkerGroups<>(maxTargets);
     }
 
-    /** The function is asked for again: the dispatcher hears of all groups. O(workers). */
+    /** Announces all groups to the dispatcher when a suspended function resumes. O(workers). */
     void announceAll() {
         for (Member<WorkerSession> member : groups.members()) {
             groups.updateLoad(member, member.worker.jobsInFlight(), member.worker.slots());
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The function is suspended: no worker is available to it. */
+    /** Marks all workers as unavailable when the function is suspended. */
     void suspendAll() {
         groups.members().forEach(member -> groups.setAvailable(member, false));
         for (Group<WorkerSession> group : groups.groups()) {
@@ -59,7 +59,10 @@
         }
     }
 
-    /** A worker can do it from now on, and is known as such; it may be given a job before this returns. */
+    /**
+     * Announces a worker that has joined the function. The worker may be given a job before this returns, so the
+     * caller records the member first.
+     */
     void joined(Member<WorkerSession> member, WorkerSession worker) {
         if (function.awake()) {
             groups.updateLoad(member, worker.jobsInFlight(), worker.slots());
@@ -83,7 +86,7 @@
         announceChanges(member.group());
     }
 
-    /** Whether the worker may be given a job now. */
+    /** Sets whether the worker may be given a job now. */
     void setAvailable(Member<WorkerSession> member, boolean available) {
         if (function.awake()) {
             groups.setAvailable(member, available);
@@ -91,14 +94,14 @@
         }
     }
 
-    /** What the worker holds, and how much it has shown that it can hold. */
+    /** Updates how many jobs the worker holds and how many it has shown that it can hold. */
     void updateLoad(Member<WorkerSession> member, int jobsInFlight, int slots) {
         if (function.awake()) {
             groups.updateLoad(member, jobsInFlight, slots);
         }
     }
 
-    /** A group may have gained, lost or emptied. */
+    /** Announces the removal of emptied groups and the readiness of a group whose members have changed. */
     private void announceChanges(Group<WorkerSession> group) {
         for (Group<WorkerSession> removed : groups.drainEmptied()) {
             if (removed.announced) {
@@ -112,7 +115,7 @@
         }
     }
 
-    /** What waits for a group that is removed never ran. */
+    /** Returns the pending attempts of a removed group to the dispatcher; no worker has run them. */
     private void returnPendingOf(Group<WorkerSession> removed) {
         ArrayDeque<Attempt> waiting = pending.remove(removed.id);
         if (waiting != null) {
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Tells the dispatcher of a group when what it was told is not so any more. */
+    /** Announces a group's readiness when it differs from what was last announced. */
     private void announceReadiness(Group<WorkerSession> group) {
         if (!group.announced) {
             reportLoad(group);
@@ -134,7 +137,10 @@
         }
     }
 
-    /** Its slots have changed: a report, as if it had been asked. */
+    /**
+     * Reports the load of a group whose slots have changed, as the result of a health check. A group that the
+     * dispatcher does not have yet is announced first.
+     */
     private void reportLoad(Group<WorkerSession> group) {
         if (!group.announced) {
             group.announced = true;
@@ -149,9 +155,9 @@
     }
 
     /**
-     * One slot more than there are: a less worthy class leaves a share of each target's slots to a worthier
-     * one, and a worker of one slot could never keep it. It is never used, since a group with no free worker
-     * is out of service.
+     * The load of a group, with one free slot more than it has. A class of lower priority weight leaves a share of
+     * each target's slots to classes of higher weight, and a worker with one slot has no share to leave. The
+     * additional slot is never used, since a group without an available worker is announced as draining.
      */
     private static LoadReport load(Group<WorkerSession> group) {
         return new LoadReport(
@@ -170,13 +176,13 @@
         WorkerSession worker = groups.leastRecentlyUsed(group);
         if (worker != null) {
             worker.reserve(attempt);
-        } else { // several were placed at once: the one that the next free worker there takes is as good
+        } else { // several were placed at once: the next worker of the group that becomes available takes one
             pending.computeIfAbsent(group.id, id -> new ArrayDeque<>()).add(attempt);
             returnPending();
         }
     }
 
-    /** A worker of the group is free; the attempt that waits for one, or null. */
+    /** Removes and returns the attempt that an available worker of the group takes, or null if none is pending. */
     Attempt takePending(Member<WorkerSession> member) {
         ArrayDeque<Attempt> waiting = pending.isEmpty() ? null : pending.get(member.group().id);
         if (waiting == null) {
@@ -192,7 +198,7 @@
         return attempt;
     }
 
-    /** What waits for a busy group while another has a free worker goes back to the dispatcher. */
+    /** Returns attempts that wait for a busy group to the dispatcher while another group has available workers. */
     void returnPending() {
         if (pending.isEmpty() || groups.availableWorkers() == 0) {
             return;
@@ -201,7 +207,7 @@
         for (Map.Entry<Long, ArrayDeque<Attempt>> each : List.copyOf(pending.entrySet())) {
             Group<WorkerSession> group = groups.find(each.getKey());
             if (group != null && group.isReady()) {
-                continue; // its own takes it
+                continue; // one of its own workers takes them
             }
             ArrayDeque<Attempt> queue = each.getValue();
             while (capacity > 0 && !queue.isEmpty()) {
@@ -217,7 +223,7 @@
         }
     }
 
-    /** It was not begun: the dispatcher may place it anew. */
+    /** Ends an attempt that no worker has started, so that the dispatcher may place the job again. */
     void returnUnsent(Attempt attempt) {
         if (!attempt.hasEnded()) {
             function.counters().withheld++;
@@ -225,7 +231,7 @@
         }
     }
 
-    /** An attempt at this worker has ended. */
+    /** Reports the end of an attempt; a load report is added at most once per {@link #REPORT_GAP_NS} and group. */
     void attemptEnded(Attempt attempt, Outcome outcome, byte[] result, Member<WorkerSession> member) {
         LoadReport load = null;
         if (member != null && (outcome == Outcome.SERVED || outcome == Outcome.ERROR)) {
@@ -239,7 +245,7 @@
         function.engine().attemptEnded(attempt, outcome, result, load);
     }
 
-    /** The worker has run a job well, badly, or not at all: it may belong elsewhere. */
+    /** Records how a worker's run ended, which may move the worker to another group. */
     void recordOutcome(Member<WorkerSession> member, Outcome outcome, long runNs) {
         Group<WorkerSession> before = member.group();
         switch (outcome) {
--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -13,25 +13,26 @@
 import beechseam.gearman.queue.Schedule;
 
 /**
- * One function: its queued and delayed jobs, and an engine with a dispatcher of its own; its workers are
- * {@link FunctionWorkers}. The dispatcher is handed as many new jobs as there are available workers, and any
- * that is about to run out of time, so that it is the dispatcher that sheds it. While no job comes the
- * function is suspended: its workers come and go unannounced, and all are announced when the next job comes.
+ * One function with its queued and delayed jobs and its own engine and dispatcher; {@link FunctionWorkers}
+ * has its workers. The function submits only as many jobs to the dispatcher as there are available workers.
+ * A job that is about to run out of time is submitted in any case, so that the dispatcher decides whether to
+ * shed it. A function without jobs is suspended: changes of its workers are not announced to the dispatcher
+ * until the next job arrives, and then all workers are announced.
  */
 final class GearmanFunction implements FunctionArbiter.Contender {
-    /** Jobs that expire or come due are moved in batches of so many, so that other work is done in between. */
+    /** Most jobs that one timer run moves when they expire or come due, so that the loop does other work in between. */
     private static final int MAX_JOBS_PER_BATCH = 500;
 
     private static final long BATCH_GAP_NS = 1_000_000L;
     /**
-     * The module's least tick, and how many it has in a latency objective. It gives a job up two ticks before its
-     * deadline: handed over just then it answers at once, and not at the next tick, by when the time for an
-     * answer might be over.
+     * The shortest tick of the dispatcher; otherwise a latency objective has {@link #TICKS_PER_OBJECTIVE} ticks.
+     * The dispatcher gives up a job two ticks before its deadline. A job submitted at that moment is answered at
+     * once; one submitted later would be answered at the next tick, possibly after its deadline.
      */
     private static final long MIN_TICK_NS = 20_000_000L;
 
     private static final int TICKS_PER_OBJECTIVE = 8;
-    /** High, normal, low. */
+    /** Number of priorities: high, normal and low. */
     static final int PRIORITIES = 3;
 
     private static final int TICKS_AHEAD = 2;
@@ -48,22 +49,25 @@
     private Engine engine;
     private boolean awake;
     private long lastActiveNs;
-    /** Jobs that have not ended, those among them that run, and those the module has and never sent. */
+    /** Jobs that have not ended. */
     int alive;
 
+    /** Jobs that a worker runs now. */
     int running;
+    /** Jobs that the dispatcher has and has not sent to a target yet. */
     int unplaced;
+
     private long lastTurn;
-    /** An operator made it, so it stays until one drops it. */
+    /** Whether it was configured or created by an operator; it then stays while unused, until an operator drops it. */
     boolean pinned;
 
-    private final Timer expiry = new Timer() {
+    private final Timer expiryTimer = new Timer() {
         @Override
         protected void fire() {
             expire();
         }
     };
-    private final Timer due = new Timer() {
+    private final Timer dueTimer = new Timer() {
         @Override
         protected void fire() {
             releaseDue();
@@ -93,7 +97,7 @@
         return counters;
     }
 
-    /** Requests that the engine still has, also those answered with an attempt out. */
+    /** Number of requests that the engine still tracks, including answered ones with an attempt in flight. */
     int open() {
         return engine == null ? 0 : engine.openRequests();
     }
@@ -106,32 +110,35 @@
         return awake;
     }
 
-    /** Enqueues a job; the caller feeds. */
+    /** Enqueues a job; the caller calls {@link #feed} afterwards. */
     void enqueue(GearmanJob job) {
         wake();
         job.stage = GearmanJob.Stage.QUEUED;
         job.enqueuedAtNs = server.loop.now();
         queues.add(job.mode.ordinal(), job.submitter, job);
         server.setBacklogged(this, true);
-        if (!expiry.armed()) {
-            server.loop.timers.set(expiry, submitByNs(job));
+        if (!expiryTimer.armed()) {
+            server.loop.timers.set(expiryTimer, submitByNs(job));
         }
     }
 
-    /** When a queued job goes to the dispatcher whether a worker is available or not, in nanoseconds. */
+    /** The time at which a queued job is submitted even if no worker is available, in nanoseconds. */
     private long submitByNs(GearmanJob job) {
         long budget = jobClass(job.mode).deadlineNs();
         return job.enqueuedAtNs + budget - Math.min(leadNs, budget / 2);
     }
 
-    /** A job waits until a time of the host's clock, in nanoseconds. */
+    /** Delays a job until a time of the host's clock, in nanoseconds. */
     void delay(GearmanJob job, long atNs) {
         job.stage = GearmanJob.Stage.DELAYED;
         job.ticket = delayed.add(atNs, job);
-        server.loop.timers.set(due, delayed.nextDueNs());
+        server.loop.timers.set(dueTimer, delayed.nextDueNs());
     }
 
-    /** Jobs whose time has come, however many of one instant: a part, then others get their turn. */
+    /**
+     * Enqueues jobs that have come due. A batch is bounded, so that many jobs due at the same instant do not block
+     * the loop; the timer runs again for the rest.
+     */
     private void releaseDue() {
         long now = server.loop.now();
         GearmanJob job = null;
@@ -144,11 +151,11 @@
         }
         feed();
         if (delayed.size() > 0) {
-            server.loop.timers.set(due, Math.max(delayed.nextDueNs(), now + BATCH_GAP_NS));
+            server.loop.timers.set(dueTimer, Math.max(delayed.nextDueNs(), now + BATCH_GAP_NS));
         }
     }
 
-    /** A job that waits leaves; nothing of it has run. */
+    /** Removes a delayed or queued job, which no worker has run. */
     void withdraw(GearmanJob job) {
         if (job.stage == GearmanJob.Stage.DELAYED) {
             delayed.remove(job.ticket);
@@ -162,23 +169,23 @@
     private void updateBacklog() {
         if (queues.size() == 0) {
             server.setBacklogged(this, false);
-            server.loop.timers.cancel(expiry);
+            server.loop.timers.cancel(expiryTimer);
         }
     }
 
-    /** As many as could be placed now go to the dispatcher. */
+    /** Submits queued jobs to the dispatcher as long as it could place another one. */
     void feed() {
         while (canAdmit()) {
             admit();
         }
     }
 
-    /** Whether a queued job might be placed if the dispatcher had it. */
+    /** Whether a job is queued and more workers are available than the dispatcher has unplaced jobs. */
     boolean canAdmit() {
         return queues.size() > 0 && unplaced < workers.groups.availableWorkers();
     }
 
-    /** The next queued job goes to the dispatcher. */
+    /** Submits the next queued job to the dispatcher. */
     void admit() {
         GearmanJob job = queues.poll(server.loop.now());
         if (job != null) {
@@ -192,13 +199,11 @@
         job.stage = GearmanJob.Stage.DISPATCHED;
         unplaced++;
         long remainingNs = Math.max(1, job.enqueuedAtNs + jobClass(job.mode).deadlineNs() - server.loop.now());
-        // A first attempt for the dispatcher: that less time than usual remains is the queue's doing.
+        // Declared as a first attempt: the budget is short because of the time in the queue, not of earlier attempts.
         job.request = engine.submit(job.handle(), new Job(0, job.mode.ordinal(), remainingNs, 0, 1, 0, true), job, job);
     }
 
-    /**
-     * Jobs that are about to run out of time go to the dispatcher, which sheds or places them.
-     */
+    /** Submits jobs that are about to run out of time to the dispatcher, which places or sheds them. */
     private void expire() {
         long now = server.loop.now();
         long next = Long.MAX_VALUE;
@@ -217,11 +222,11 @@
         }
         updateBacklog();
         if (next != Long.MAX_VALUE) {
-            server.loop.timers.set(expiry, Math.max(next, now + BATCH_GAP_NS));
+            server.loop.timers.set(expiryTimer, Math.max(next, now + BATCH_GAP_NS));
         }
     }
 
-    /** A job has its final answer, or is given up by all. */
+    /** Updates the counts for a job that got its final answer or that all its clients have abandoned. */
     void ended(GearmanJob job) {
         alive--;
         if (job.stage == GearmanJob.Stage.DISPATCHED && !job.placed) {
@@ -238,8 +243,8 @@
     public long oldestEnqueuedAtNs() {
         long oldest = Long.MAX_VALUE;
         for (Mode mode : Mode.values()) {
-            GearmanJob head = queues.oldest(mode.ordinal());
-            oldest = head == null ? oldest : Math.min(oldest, head.enqueuedAtNs);
+            GearmanJob first = queues.oldest(mode.ordinal());
+            oldest = first == null ? oldest : Math.min(oldest, first.enqueuedAtNs);
         }
         return oldest;
     }
@@ -254,7 +259,10 @@
         lastTurn = count;
     }
 
-    /** A job has come: the dispatcher is told of all workers that it has missed. O(workers). */
+    /**
+     * Resumes a suspended function for a new job: creates the engine on first use and announces all workers to the
+     * dispatcher. O(workers).
+     */
     private void wake() {
         lastActiveNs = server.loop.now();
         if (awake) {
@@ -273,7 +281,10 @@
         workers.announceAll();
     }
 
-    /** No job has come for {@code idleNs} nanoseconds: its workers cost nothing until the next one. */
+    /**
+     * Suspends the function when no job has arrived for {@code idleNs} nanoseconds, so that its workers cost
+     * nothing until the next job.
+     */
     void suspendIfIdle(long idleNs) {
         if (awake && alive == 0 && open() == 0 && server.loop.now() - lastActiveNs > idleNs) {
             awake = false;
@@ -281,22 +292,22 @@
         }
     }
 
-    /** Whether it stands empty with no worker. */
+    /** Whether the function has no jobs, no open requests and no workers. */
     boolean unused() {
         return alive == 0 && open() == 0 && workers.groups.memberCount() == 0;
     }
 
     void close() {
-        server.loop.timers.cancel(expiry);
-        server.loop.timers.cancel(due);
+        server.loop.timers.cancel(expiryTimer);
+        server.loop.timers.cancel(dueTimer);
     }
 
-    /** The job that an attempt is of. */
+    /** The job that an attempt belongs to. */
     static GearmanJob job(Attempt attempt) {
         return (GearmanJob) attempt.request.message;
     }
 
-    /** An attempt at the job has been sent, so that the dispatcher holds one job less that is not placed. */
+    /** Records that an attempt of the job has been sent; the job no longer counts as unplaced. */
     void placed(GearmanJob job) {
         if (!job.placed) {
             job.placed = true;
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -15,14 +15,14 @@
 import java.util.Locale;
 
 /**
- * A job with all the clients that wait for it: the same key submitted while it lives joins it. Hundreds of
- * thousands may wait, so it holds no more than it must: the handle is made of its number, and lists only
- * exist once there are two.
+ * A job with all the clients that wait for it; a submission with the same key joins the job until it has ended.
+ * Hundreds of thousands of jobs may be queued, so a job uses little memory: the handle is derived from its
+ * number, and the list of clients exists only from the second client on.
  */
 final class GearmanJob implements Ingress, QueuedJob {
-    /** Where it is; it moves down this list only, and each but ENDED holds room for its workload. */
+    /** The stages of a job in their order. In each stage but ENDED the bytes of the workload are reserved. */
     enum Stage {
-        /** Waits until its due time. */
+        /** Waits for its due time. */
         DELAYED,
         /** Waits in the queues of its function. */
         QUEUED,
@@ -34,9 +34,9 @@
     /**
      * What a client submitted.
      *
-     * @param key     finds the job by its unique; null without one
-     * @param reducer null unless it was submitted to be reduced
-     * @param charge  bytes that are held for it
+     * @param key     the key that later submissions join the job by; null without one
+     * @param reducer the reducer's name; null unless it is a reduce job
+     * @param charge  bytes that are reserved for the job
      */
     record Submission(
             String unique,
@@ -53,40 +53,39 @@
     final GearmanFunction function;
     final String unique;
     final Mode mode;
-    /** Null unless it was submitted to be reduced. */
+    /** The reducer's name; null unless it is a reduce job. */
     final String reducer;
-    /** Whose turn it takes in line; only compared. */
+    /** The session that submitted the job; queues give each session its turn. */
     final ClientSession submitter;
-    /** Bytes that are held for it. */
+    /** Bytes that are reserved for the job. */
     final int charge;
-    /**
-     * What finds it by its key, null without one; jobs of other functions with the same key follow it in a
-     * chain.
-     */
+    /** The key that later submissions join the job by; null without one. */
     Object key;
 
+    /** The next job with the same key, which is of another function; null at the end of the chain. */
     GearmanJob sameKey;
+
     ByteBuffer workload;
-    /** What the first worker to complete it gave, until the clients have it. */
+    /** The result from the first worker that completed the job, kept until the clients have been sent it. */
     ByteBuffer result;
 
     Stage stage = Stage.QUEUED;
     /** When it was enqueued, in nanoseconds of the host's clock. */
     long enqueuedAtNs;
-    /** A background submission is owed the run even when no client waits. */
+    /** Whether it was submitted as a background job, which runs even when no client waits. */
     boolean background;
-    /** It has been sent to a target at least once. */
+    /** Whether it has been sent to a target at least once. */
     boolean placed;
-    /** Workers that hold it now: two while a copy runs. */
+    /** Number of workers that hold it now; two while a hedge runs. */
     int runs;
 
     Schedule.Ticket ticket;
     Request request;
-    /** The attempt whose data the clients are sent: of a job and its hedge only one is forwarded. */
-    private Attempt forwarded;
+    /** The attempt whose data is sent to the clients; the data of its hedge is not. */
+    private Attempt forwardedAttempt;
 
     private GearmanConnection client;
-    private List<GearmanConnection> others;
+    private List<GearmanConnection> otherClients;
     String numerator = "0";
     String denominator = "0";
 
@@ -118,68 +117,70 @@
 
     private boolean ended;
 
-    /** Whether its end has been counted and told. */
+    /** Whether its end has been counted and sent to the clients. */
     boolean hasEnded() {
         return ended;
     }
 
-    /** Nothing of it is needed any more but its name. */
+    /** Marks the job as ended and releases its workload, result and clients. Only the handle is used afterwards. */
     void finish() {
         ended = true;
         stage = Stage.ENDED;
         workload = EMPTY;
         result = null;
         client = null;
-        others = null;
+        otherClients = null;
     }
 
     boolean running() {
         return runs > 0;
     }
 
-    /** False when that one waits already. */
+    /** Adds a client that waits for the job; false when the client waits already. */
     boolean join(GearmanConnection connection) {
-        if (client == connection || others != null && others.contains(connection)) {
+        if (client == connection || otherClients != null && otherClients.contains(connection)) {
             return false;
         }
         if (client == null) {
             client = connection;
         } else {
-            if (others == null) {
-                others = new ArrayList<>(2);
+            if (otherClients == null) {
+                otherClients = new ArrayList<>(2);
             }
-            others.add(connection);
+            otherClients.add(connection);
         }
         return true;
     }
 
     void leave(GearmanConnection connection) {
         if (client == connection) {
-            client = others == null || others.isEmpty() ? null : others.remove(others.size() - 1);
-        } else if (others != null) {
-            others.remove(connection);
+            client = otherClients == null || otherClients.isEmpty()
+                    ? null
+                    : otherClients.remove(otherClients.size() - 1);
+        } else if (otherClients != null) {
+            otherClients.remove(connection);
         }
     }
 
-    /** Clients that wait for it. */
+    /** The clients that wait for the job. */
     List<GearmanConnection> clients() {
         if (client == null) {
             return List.of();
         }
-        if (others == null || others.isEmpty()) {
+        if (otherClients == null || otherClients.isEmpty()) {
             return List.of(client);
         }
-        List<GearmanConnection> all = new ArrayList<>(others);
+        List<GearmanConnection> all = new ArrayList<>(otherClients);
         all.add(0, client);
         return all;
     }
 
     int clientCount() {
-        return client == null ? 0 : 1 + (others == null ? 0 : others.size());
+        return client == null ? 0 : 1 + (otherClients == null ? 0 : otherClients.size());
     }
 
     /**
-     * Something on the way to its end.
+     * Sends a packet about the job to all its clients, WORK_EXCEPTION only to those that asked for exceptions.
      *
      * @param data the last argument, or null for none; shared by all clients and not copied
      */
@@ -212,19 +213,19 @@
         }
     }
 
-    /** An empty last argument has its NUL before it all the same. */
+    /** Appends an empty last argument, so that the packet has the NUL that precedes it. */
     private static Object[] withEmptyLast(Object[] args) {
         Object[] all = Arrays.copyOf(args, args.length + 1);
         all[args.length] = new byte[0];
         return all;
     }
 
-    /** Whether this attempt's data goes to the clients. */
+    /** Whether this attempt's data is sent to the clients. */
     boolean forwardsFor(Attempt attempt) {
-        if (forwarded == null || forwarded.hasEnded()) {
-            forwarded = attempt;
+        if (forwardedAttempt == null || forwardedAttempt.hasEnded()) {
+            forwardedAttempt = attempt;
         }
-        return forwarded == attempt;
+        return forwardedAttempt == attempt;
     }
 
     @Override
@@ -235,7 +236,7 @@
 
     @Override
     public void shed(Request request, long retryAfterNs) {
-        // WORK_FAIL has no room for it, so the advice goes ahead as an exception to those that asked.
+        // WORK_FAIL carries no text: clients that asked for exceptions get the retry delay in one before it.
         forward(
                 Packet.WORK_EXCEPTION,
                 ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s", retryAfterNs / 1e9)
--- a/src/main/java/beechseam/gearman/HeldJob.java
+++ b/src/main/java/beechseam/gearman/HeldJob.java
@@ -6,15 +6,15 @@
 import beechseam.gearman.queue.WorkerGroups.Member;
 
 /**
- * A job that a worker holds, also once nobody waits for it any more: only the worker can end that. The time
- * limit that the worker gave for the function ends the attempt, not the run.
+ * A job that a worker holds, even after its last client has left, since only the worker can end the run. The time
+ * limit that the worker set for the function ends the attempt, not the run.
  */
 final class HeldJob {
     final Attempt attempt;
     final GearmanFunction function;
     /** In nanoseconds of the host's clock. */
     final long startedAtNs;
-    /** It has reported an exception; unless it says otherwise that was the end. */
+    /** Whether the worker reported an exception; without a later result the job has then failed. */
     boolean exceptionReported;
 
     private Timer timeLimit;
@@ -25,7 +25,7 @@
         this.startedAtNs = startedAtNs;
     }
 
-    /** Ends the attempt after so many nanoseconds; the worker may still run it. */
+    /** Ends the attempt as timed out after {@code limitNs} nanoseconds; the worker may still run the job. */
     void startTimeLimit(Member<WorkerSession> member, long limitNs) {
         timeLimit = new Timer() {
             @Override
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Reports the share of the work that its job's last WORK_STATUS gave, where that is a share. */
+    /** Reports the progress from the job's last WORK_STATUS if it is a fraction from 0 to 1. */
     void reportProgress() {
         GearmanJob job = GearmanFunction.job(attempt);
         try {
@@ -56,7 +56,7 @@
                 function.engine().attemptProgressed(attempt, share);
             }
         } catch (NumberFormatException e) {
-            // by the protocol it is for the clients, whatever it says
+            // The protocol allows any text in WORK_STATUS; the clients get it, the engine does not.
         }
     }
 }
--- a/src/main/java/beechseam/gearman/Jobs.java
+++ b/src/main/java/beechseam/gearman/Jobs.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * All jobs alive, by number and by key, and how those that are not have ended: accepted is alive plus ended.
+ * All jobs that have not ended, by number and by key, and counts of those that have, by how they ended. The number
+ * of accepted jobs is the sum of both.
  */
 final class Jobs {
     /**
-     * How a job ended. LEFT: nobody waited for it any more; LOST: it waited in the background as the server
-     * stopped.
+     * How a job ended. LEFT: its last client disconnected; LOST: it was a background job that was
+     * dropped because the server stopped.
      */
     enum End {
         SERVED,
@@ -24,7 +25,7 @@
         LOST
     }
 
-    /** What a job costs besides its workload, in bytes, as seen by measurement with keys of ten letters. */
+    /** Memory that a job takes besides its workload, with a key of ten letters. */
     static final int OVERHEAD_BYTES = 400;
 
     private final String prefix;
@@ -34,7 +35,7 @@
     private final long[] ended = new long[End.values().length];
     private long accepted;
 
-    /** A key that is the workload itself, as "-" asks for; compared byte for byte. */
+    /** The key of a job submitted with the unique key "-": its workload, compared byte for byte. */
     private record Content(byte[] workload) {
         @Override
         public boolean equals(Object o) {
@@ -56,12 +57,15 @@
         return prefix + number;
     }
 
-    /** By the published protocol "-" stands for the workload itself as the key; an empty one for none. */
+    /**
+     * The key for a submission's unique key. The published protocol defines "-" as the workload itself, and an
+     * empty unique key as none, for which this returns null.
+     */
     static Object key(String unique, byte[] workload) {
         return unique.isEmpty() ? null : unique.equals("-") ? new Content(workload) : unique;
     }
 
-    /** The job of that function that lives under the key, or null. */
+    /** The function's job with that key that has not ended, or null. */
     GearmanJob byKey(Object key, GearmanFunction function) {
         GearmanJob job = key == null ? null : byKey.get(key);
         while (job != null && job.function != function) {
@@ -76,13 +80,14 @@
         }
         try {
             GearmanJob job = byNumber.get(Long.parseLong(handle, prefix.length(), handle.length(), 10));
-            return job != null && handle(job.number).equals(handle) ? job : null; // "+7" is no number of ours
+            // The comparison rejects other spellings of the number, such as "+7".
+            return job != null && handle(job.number).equals(handle) ? job : null;
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    /** By its unique key alone, whatever its function, since the protocol names none here. */
+    /** Finds a job by its unique key in any function, since the protocol's request names no function. */
     GearmanJob byUnique(String unique) {
         return unique.isEmpty() ? null : byKey.get(unique);
     }
