--- a/src/main/java/beechseam/gearman/queue/Admission.java
+++ b/src/main/java/beechseam/gearman/queue/Admission.java
@@ -1,32 +1,33 @@
 package beechseam.gearman.queue;
 
 /**
- * Admission control of new jobs. Each bound has a name of its own, so that who is turned away can tell which
- * it was; a job once taken is never dropped for another. O(1).
+ * Admission control of new jobs. The rejection names the bound that was reached, so that the client can tell
+ * which one it was. An accepted job is never dropped to admit another. O(1).
  */
 public final class Admission {
-    /** A bound that a submission is past: a code for programs and a reason for people. */
+    /** Why a submission is rejected: an error code for programs and a reason for people. */
     public record Rejection(String code, String reason) {}
 
-    /** The bounds, each a number of jobs. */
+    /** The bounds on the number of jobs, of the server and of one client. */
     public record Limits(int maxJobs, int maxJobsPerClient) {}
 
     private final Limits limits;
 
-    /** @param limits bounds that hold for all functions together */
+    /** @param limits bounds that apply to all functions together */
     public Admission(Limits limits) {
         this.limits = limits;
     }
 
     /**
-     * The bound that rejects the job, or null where it is admitted and its bytes are reserved.
+     * Checks a new job against all bounds. Returns the rejection, or null if the job is admitted; its bytes are
+     * then reserved.
      *
-     * @param jobs       jobs alive in all
+     * @param jobs       jobs of the whole server that have not ended
      * @param clientJobs jobs that this client has open
      * @param queues     queues of the function
-     * @param level      of the job, 0 the most urgent
-     * @param bytes      of its workload
-     * @param budget     of bytes; reserved from where the answer is null
+     * @param level      level of the job; 0 is the most urgent
+     * @param bytes      size of its workload
+     * @param budget     budget from which an admitted job's bytes are reserved
      */
     public Rejection check(
             int jobs, int clientJobs, PriorityQueues<?> queues, int level, long bytes, ByteBudget budget) {
--- a/src/main/java/beechseam/gearman/queue/ByteBudget.java
+++ b/src/main/java/beechseam/gearman/queue/ByteBudget.java
@@ -1,10 +1,10 @@
 package beechseam.gearman.queue;
 
 /**
- * The bytes that workloads and results may take together. Of the whole, a quarter is kept for what workers
- * say: a queue of workloads that fills everything would shut out the results that empty it. One packet of the
- * greatest size is let through whenever nothing else of its kind is held, else a small budget would shut it
- * out for good.
+ * The bytes that workloads and results may take together. A quarter is reserved for results: if queued workloads
+ * could take the whole budget, no result could be received, and the queue would never drain. A workload or result
+ * of any size is admitted when no other of its kind is stored, since a budget smaller than one packet would
+ * otherwise reject it forever.
  */
 public final class ByteBudget {
     private final long maxWorkloadBytes;
@@ -12,13 +12,13 @@
     private long workloadBytes;
     private long resultBytes;
 
-    /** @param maxBytes bytes in all */
+    /** @param maxBytes size of the whole budget in bytes */
     public ByteBudget(long maxBytes) {
         maxResultBytes = maxBytes / 4;
         maxWorkloadBytes = maxBytes - maxResultBytes;
     }
 
-    /** Room for a workload, held until {@link #releaseWorkload}; false when there is none. */
+    /** Reserves bytes for a workload until {@link #releaseWorkload}; false when the budget is exhausted. */
     public boolean reserveWorkload(long bytes) {
         if (workloadBytes > 0 && workloadBytes + bytes > maxWorkloadBytes) {
             return false;
@@ -27,15 +27,16 @@
         return true;
     }
 
-    /** Gives back the bytes of a workload that has ended. */
+    /** Releases the bytes of a workload whose job has ended. */
     public void releaseWorkload(long bytes) {
         workloadBytes -= bytes;
     }
 
     /**
-     * Room for something on its way to clients, held until {@link #releaseResult}.
+     * Reserves bytes for a worker's packet to clients until {@link #releaseResult}; false when the budget is
+     * exhausted.
      *
-     * @param unreadBytes bytes that clients have been sent and have not read yet: they count, too
+     * @param unreadBytes bytes that are buffered for clients that have not read them; they count as well
      */
     public boolean reserveResult(long bytes, long unreadBytes) {
         if (resultBytes + unreadBytes > 0 && resultBytes + unreadBytes + bytes > maxResultBytes) {
@@ -45,22 +46,22 @@
         return true;
     }
 
-    /** Gives back the bytes of something that clients have been sent. */
+    /** Releases the bytes of a packet that has been forwarded to clients. */
     public void releaseResult(long bytes) {
         resultBytes -= bytes;
     }
 
-    /** Bytes that workloads hold now. */
+    /** Bytes that are reserved for workloads now. */
     public long workloadBytes() {
         return workloadBytes;
     }
 
-    /** Bytes reserved on their way to clients. */
+    /** Bytes that are reserved for workers' packets to clients now. */
     public long resultBytes() {
         return resultBytes;
     }
 
-    /** The most bytes that workloads may hold together. */
+    /** The most bytes that may be reserved for workloads. */
     public long maxWorkloadBytes() {
         return maxWorkloadBytes;
     }
--- a/src/main/java/beechseam/gearman/queue/FairQueue.java
+++ b/src/main/java/beechseam/gearman/queue/FairQueue.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * Jobs of one function and priority. Each client has a queue of its own, and clients take turns, a job each,
- * so that one with a thousand jobs makes another with one wait for a single job (round robin after Nagle, "On
- * packet switches with infinite storage", RFC 970, 1985). Adding and taking are O(1). A job that leaves the
- * queue otherwise is only marked and skipped later; once more than half of what is held is marked, the
- * queue is swept, which is O(1) a job in the mean.
+ * Jobs of one function and priority. Each client has its own queue, and the queues are served round robin, one
+ * job at a time, so that a client with a thousand queued jobs delays another client's only job by a single job
+ * (Nagle, "On packet switches with infinite storage", RFC 970, 1985). Adding and polling are O(1). A job that is
+ * removed otherwise is only marked, and skipped when it is reached. Once more than half of the retained jobs are
+ * marked, the queue is compacted, which is amortized O(1) per job.
  */
 public final class FairQueue<J extends QueuedJob> {
-    /** Removed jobs up to which sweeping is not worth it. */
-    private static final int MIN_MARKED_TO_SWEEP = 1024;
+    /** The queue is compacted only if it retains more removed jobs than this. */
+    private static final int MIN_REMOVED_TO_COMPACT = 1024;
 
     private static final class ClientQueue<J> {
         final Object client;
@@ -26,12 +26,12 @@
 
     private final Map<Object, ClientQueue<J>> byClient = new HashMap<>();
     private final ArrayDeque<ClientQueue<J>> roundRobin = new ArrayDeque<>();
-    /** All in the order in which they came: tells the oldest, and whose time runs out first. */
+    /** All jobs in the order in which they were added; the first has waited longest and expires first. */
     private final ArrayDeque<J> byAge = new ArrayDeque<>();
 
     private int size;
 
-    /** Number of jobs queued. */
+    /** Number of queued jobs. */
     public int size() {
         return size;
     }
@@ -39,7 +39,7 @@
     /**
      * Enqueues a job.
      *
-     * @param client whose turns it takes; only compared
+     * @param client the client whose round-robin turns the job takes; a key that is compared only
      */
     public void add(Object client, J job) {
         ClientQueue<J> clientQueue = byClient.get(client);
@@ -53,7 +53,7 @@
         size++;
     }
 
-    /** Takes out the next by turns, or null; the caller marks it as no longer queued. */
+    /** Removes and returns the next job in round-robin order, or null; the caller marks it as no longer queued. */
     public J poll() {
         while (!roundRobin.isEmpty()) {
             ClientQueue<J> clientQueue = roundRobin.pollFirst();
@@ -80,7 +80,7 @@
         return null;
     }
 
-    /** Jobs held in memory, removed ones included. */
+    /** Number of jobs that are retained in memory, including removed ones. */
     int retainedJobs() {
         int retained = 0;
         for (ClientQueue<J> clientQueue : roundRobin) {
@@ -89,7 +89,7 @@
         return Math.max(retained, byAge.size());
     }
 
-    /** The one that has waited longest, or null; it stays queued. */
+    /** The job that has waited longest, or null; it stays queued. */
     public J oldest() {
         while (!byAge.isEmpty() && !byAge.peekFirst().isQueued()) {
             byAge.pollFirst();
@@ -97,11 +97,11 @@
         return byAge.peekFirst();
     }
 
-    /** A job was removed otherwise than by {@link #poll}; the caller has marked it already. */
+    /** Records that a job was removed other than by {@link #poll}; the caller has marked it already. */
     public void jobRemoved() {
         size--;
         int retained = byAge.size();
-        if (retained - size > MIN_MARKED_TO_SWEEP && size < retained / 2) {
+        if (retained - size > MIN_REMOVED_TO_COMPACT && size < retained / 2) {
             byAge.removeIf(job -> !job.isQueued());
             byClient.values().forEach(clientQueue -> clientQueue.jobs.removeIf(job -> !job.isQueued()));
             roundRobin.removeIf(clientQueue -> clientQueue.jobs.isEmpty());
@@ -110,11 +110,12 @@
     }
 
     /**
-     * Lets go of taken jobs that are only remembered for their age; called after {@link #poll} by its owner.
+     * Releases polled jobs that are retained only in the order by age. The caller calls this after {@link #poll},
+     * once the job is marked.
      */
     public void trim() {
         oldest();
-        if (byAge.size() > 2 * size + MIN_MARKED_TO_SWEEP) {
+        if (byAge.size() > 2 * size + MIN_REMOVED_TO_COMPACT) {
             byAge.removeIf(job -> !job.isQueued());
         }
     }
--- a/src/main/java/beechseam/gearman/queue/FunctionArbiter.java
+++ b/src/main/java/beechseam/gearman/queue/FunctionArbiter.java
@@ -1,23 +1,24 @@
 package beechseam.gearman.queue;
 
 /**
- * Which function gets a worker that several of them could use: the one whose most urgent waiting job is of
- * the highest priority, of equals the one that has not had a turn for longest; every {@code ageingTurn}-th
- * time the one whose oldest job has waited longest, if over {@code ageingNs}. A choice is O(contenders).
+ * Selects the function that gets a worker which several functions could use. The function whose most urgent
+ * queued job has the highest priority wins; among equals, the one selected least recently. Every
+ * {@code ageingTurn}-th selection goes to the function whose oldest job has waited longest, if it has waited for
+ * more than {@code ageingNs}. A selection is O(contenders).
  */
 public final class FunctionArbiter<F extends FunctionArbiter.Contender> {
-    /** A function with waiting jobs. */
+    /** A function with queued jobs. */
     public interface Contender {
-        /** Level of its most urgent waiting job, 0 the highest; negative for none. */
+        /** Level of its most urgent queued job, where 0 is the most urgent; negative if it has none. */
         int mostUrgentLevel();
 
-        /** When the oldest that waits came, in nanoseconds; {@code Long.MAX_VALUE} for none. */
+        /** When its oldest queued job was enqueued, in nanoseconds; {@code Long.MAX_VALUE} if it has none. */
         long oldestEnqueuedAtNs();
 
-        /** The count of turns when it last had one. */
+        /** The number of the selection that it last won, as given to {@link #recordTurn}. */
         long lastTurn();
 
-        /** It has been selected, as that turn. */
+        /** Records that it won the selection of that number. */
         void recordTurn(long count);
     }
 
@@ -31,15 +32,15 @@
     private long oldestAtNs;
 
     /**
-     * @param ageingTurn every how many selections age decides; 0: never
-     * @param ageingNs   age below which an oldest job has no claim, in nanoseconds
+     * @param ageingTurn number of selections of which one is decided by age; 0 for none
+     * @param ageingNs   age above which a job may win a selection by age, in nanoseconds
      */
     public FunctionArbiter(int ageingTurn, long ageingNs) {
         this.ageingTurn = ageingTurn;
         this.ageingNs = ageingNs;
     }
 
-    /** Begins a selection at that time of the host's clock, in nanoseconds. */
+    /** Begins a selection at a time of the host's clock, in nanoseconds. */
     public void beginSelection(long nowNs) {
         best = null;
         oldest = null;
@@ -47,7 +48,7 @@
         oldestAtNs = nowNs - ageingNs;
     }
 
-    /** A function that could use the worker. */
+    /** Adds a function that could use the worker to the selection. */
     public void offer(F contender) {
         int level = contender.mostUrgentLevel();
         if (level < bestLevel || level == bestLevel && contender.lastTurn() < best.lastTurn()) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /** Ends the selection: the function that gets the worker, or null when none was offered. */
+    /** Ends the selection and returns the function that gets the worker, or null if none was offered. */
     public F select() {
         F selected = best;
         if (best != null && ++turn >= ageingTurn) {
--- a/src/main/java/beechseam/gearman/queue/PriorityQueues.java
+++ b/src/main/java/beechseam/gearman/queue/PriorityQueues.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The waiting jobs of one function, a {@link FairQueue} for each level (0 is the most urgent), and whose turn
- * it is: the most urgent level that has any, but every {@code ageingTurn}-th turn goes to the level whose
- * head has waited longest, if that is over {@code ageingNs}. So a level is never starved: behind any stream
- * its head gets one turn in {@code ageingTurn}. A turn costs O(levels).
+ * The queued jobs of one function, with a {@link FairQueue} for each level (0 is the most urgent). A poll takes
+ * from the most urgent level that is not empty. Every {@code ageingTurn}-th poll takes from the level whose
+ * oldest job has waited longest, if it has waited for more than {@code ageingNs}. No level is starved therefore:
+ * whatever the load of more urgent levels, one poll in {@code ageingTurn} is decided by age. A poll is O(levels).
  */
 public final class PriorityQueues<J extends QueuedJob> {
     private final List<FairQueue<J>> levels = new ArrayList<>();
@@ -18,10 +18,10 @@
     private int size;
 
     /**
-     * @param levelCount how many levels
-     * @param priorities how many bounds there are; levels that are equal modulo this number share one
-     * @param ageingTurn every how many turns age decides; 0: never
-     * @param ageingNs   age below which a head has no claim, in nanoseconds
+     * @param levelCount number of levels
+     * @param priorities number of bounds; levels that are equal modulo this number share a bound
+     * @param ageingTurn number of polls of which one is decided by age; 0 for none
+     * @param ageingNs   age above which a job may be polled by age, in nanoseconds
      */
     public PriorityQueues(int levelCount, int priorities, int ageingTurn, long ageingNs) {
         for (int i = 0; i < levelCount; i++) {
@@ -33,28 +33,28 @@
         this.ageingNs = ageingNs;
     }
 
-    /** Number of jobs queued at all levels. */
+    /** Number of queued jobs at all levels. */
     public int size() {
         return size;
     }
 
-    /** The most that may wait at the levels of a priority together; what is queued already stays. */
+    /** Sets how many jobs may be queued at all levels of a priority together; jobs already queued stay. */
     public void setLimit(int priority, int jobs) {
         limits[priority] = jobs;
     }
 
-    /** Whether the priority of a level is at its bound. */
+    /** Whether the priority of a level has reached its bound. */
     public boolean isFull(int level) {
         int priority = level % limits.length;
         return limits[priority] != Integer.MAX_VALUE && queuedJobs(priority) >= limits[priority];
     }
 
-    /** Jobs that wait at a level and those that share its bound. */
+    /** Number of jobs queued at a level and at the levels that share its bound. */
     public int queuedSharingBound(int level) {
         return queuedJobs(level % limits.length);
     }
 
-    /** Jobs that wait at the levels of a priority. */
+    /** Number of jobs queued at the levels of a priority. */
     public int queuedJobs(int priority) {
         int sum = 0;
         for (int i = priority; i < levels.size(); i += limits.length) {
@@ -66,14 +66,14 @@
     /**
      * Enqueues a job.
      *
-     * @param client whose turns it takes among those of its level; only compared
+     * @param client the client whose round-robin turns the job takes at its level; a key that is compared only
      */
     public void add(int level, Object client, J job) {
         levels.get(level).add(client, job);
         size++;
     }
 
-    /** The most urgent level that has any, or -1. */
+    /** The most urgent level that is not empty, or -1. */
     public int mostUrgentLevel() {
         for (int i = 0; i < levels.size(); i++) {
             if (levels.get(i).size() > 0) {
@@ -83,7 +83,7 @@
         return -1;
     }
 
-    /** Takes out the job whose turn it is, or null; the caller marks it as no longer queued. */
+    /** Removes and returns the next job, or null; the caller marks it as no longer queued. */
     public J poll(long nowNs) {
         int level = mostUrgentLevel();
         if (level < 0) {
@@ -93,9 +93,9 @@
             turn = 0;
             long earliestNs = nowNs - ageingNs;
             for (int i = 0; i < levels.size(); i++) {
-                J head = levels.get(i).size() == 0 ? null : levels.get(i).oldest();
-                if (head != null && head.enqueuedAtNs() < earliestNs) {
-                    earliestNs = head.enqueuedAtNs();
+                J oldest = levels.get(i).size() == 0 ? null : levels.get(i).oldest();
+                if (oldest != null && oldest.enqueuedAtNs() < earliestNs) {
+                    earliestNs = oldest.enqueuedAtNs();
                     level = i;
                 }
             }
@@ -104,18 +104,18 @@
         return levels.get(level).poll();
     }
 
-    /** After the caller has marked what it polled: lets go of it. */
+    /** Releases jobs of the level that were polled and that the caller has marked. */
     public void trim(int level) {
         levels.get(level).trim();
     }
 
-    /** A queued job of the level was removed; the caller has marked it already. */
+    /** Records that a queued job of the level was removed; the caller has marked it already. */
     public void jobRemoved(int level) {
         size--;
         levels.get(level).jobRemoved();
     }
 
-    /** The one of a level that has waited longest, or null. */
+    /** The job of a level that has waited longest, or null. */
     public J oldest(int level) {
         return levels.get(level).oldest();
     }
--- a/src/main/java/beechseam/gearman/queue/QueuedJob.java
+++ b/src/main/java/beechseam/gearman/queue/QueuedJob.java
@@ -1,10 +1,10 @@
 package beechseam.gearman.queue;
 
-/** A job as the queues see it. */
+/** The view of a job that the queues need. */
 public interface QueuedJob {
-    /** Whether it is still queued; a removed one is skipped when it is reached, so removal costs O(1). */
+    /** Whether the job is still queued; queues skip a removed job when they reach it, so removal is O(1). */
     boolean isQueued();
 
-    /** When it was enqueued, in nanoseconds of the host's clock. */
+    /** When the job was enqueued, in nanoseconds of the host's clock. */
     long enqueuedAtNs();
 }
--- a/src/main/java/beechseam/gearman/queue/Schedule.java
+++ b/src/main/java/beechseam/gearman/queue/Schedule.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 
 /**
- * Jobs that wait for the clock, by when they are due and, of one time, in the order in which they came.
- * Adding, taking and leaving are O(log n).
+ * Delayed jobs, ordered by due time and, within the same due time, by the order in which they were added. Adding,
+ * polling and removing are O(log n).
  */
 public final class Schedule<J> {
-    /** A place in the schedule; {@code dueAtNs} by the host's clock, {@code order} of arrival. */
+    /** A position in the schedule: the due time on the host's clock, then the order in which jobs were added. */
     public record Ticket(long dueAtNs, long order) implements Comparable<Ticket> {
         @Override
         public int compareTo(Ticket other) {
@@ -19,24 +19,25 @@
         }
     }
 
-    private static final int YEARS_AHEAD = 9; // a 29 February on a given weekday may be decades off: refused
+    /** How far ahead a match is searched; 29 February on a given weekday may be decades ahead and is rejected. */
+    private static final int YEARS_AHEAD = 9;
 
     private final TreeMap<Ticket, J> waiting = new TreeMap<>();
     private long order;
 
-    /** Adds a job that is due at that time of the host's clock, in nanoseconds; the ticket removes it. */
+    /** Adds a job that is due at a time of the host's clock, in nanoseconds; the ticket serves to remove it. */
     public Ticket add(long dueAtNs, J job) {
         Ticket ticket = new Ticket(dueAtNs, ++order);
         waiting.put(ticket, job);
         return ticket;
     }
 
-    /** Removes a job; false where it was not there any more. */
+    /** Removes a job; false if it is no longer scheduled. */
     public boolean remove(Ticket ticket) {
         return waiting.remove(ticket) != null;
     }
 
-    /** Removes and returns the next that is due, or null. */
+    /** Removes and returns the next job that is due, or null. */
     public J pollDue(long nowNs) {
         Map.Entry<Ticket, J> first = waiting.firstEntry();
         if (first == null || first.getKey().dueAtNs() > nowNs) {
@@ -45,7 +46,7 @@
         return waiting.pollFirstEntry().getValue();
     }
 
-    /** When the next is due, in nanoseconds; {@code Long.MAX_VALUE} for never. */
+    /** When the next job is due, in nanoseconds; {@code Long.MAX_VALUE} if there is none. */
     public long nextDueNs() {
         return waiting.isEmpty() ? Long.MAX_VALUE : waiting.firstKey().dueAtNs();
     }
@@ -56,13 +57,12 @@
     }
 
     /**
-     * The next minute that the five fields of SUBMIT_JOB_SCHED name; an empty one, or {@code *}, is any.
+     * The next minute that matches the five fields of SUBMIT_JOB_SCHED; an empty field or {@code *} matches any.
      *
-     * @param from a time; the answer is in a later minute
+     * @param from time after whose minute the match lies
      * @param fields minute (0-59), hour (0-23), day of the month (1-31), month (1-12), day of the week (0-6,
      *     0 is Monday)
-     * @throws IllegalArgumentException names the faulty field, or says that no such minute comes within 9
-     *     years
+     * @throws IllegalArgumentException if a field is invalid, or if no minute within 9 years matches
      */
     public static ZonedDateTime nextMatch(ZonedDateTime from, String... fields) {
         int minute = field("minute", fields[0], 0, 59);
@@ -72,7 +72,7 @@
         int weekday = field("day of week", fields[4], 0, 6);
         ZonedDateTime at = from.truncatedTo(ChronoUnit.MINUTES).plusMinutes(1);
         ZonedDateTime end = from.plusYears(YEARS_AHEAD);
-        while (at.isBefore(end)) { // the largest unit that is off is stepped over whole
+        while (at.isBefore(end)) { // advances by the largest unit that does not match
             if (month >= 0 && at.getMonthValue() != month) {
                 at = at.plusMonths(1).withDayOfMonth(1).truncatedTo(ChronoUnit.DAYS);
             } else if (day >= 0 && at.getDayOfMonth() != day
@@ -99,7 +99,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // reported below, with its bounds
+            // reported below with the bounds of the field
         }
         throw new IllegalArgumentException(name + " must be from " + min + " to " + max + ", not '"
                 + (text.length() > 20 ? text.substring(0, 20) + "..." : text) + "'");
--- a/src/main/java/beechseam/gearman/queue/WorkerGroups.java
+++ b/src/main/java/beechseam/gearman/queue/WorkerGroups.java
@@ -9,34 +9,32 @@
 import java.util.Set;
 
 /**
- * The workers of one function as a bounded number of egress targets. Workers that are alike (same location,
- * same pace, none suspected) share a target, a group; up to {@code maxTargets} each has a target of its own.
- * The dispatcher chooses the group by its effective load; its workers are alike, so the least recently used
- * available one is taken, as the design has it for ties. Joining is O(groups), all that happens for a job
- * O(1).
+ * The workers of one function as a bounded number of egress targets. Up to {@code maxTargets} workers have a
+ * target each. Beyond that, similar workers share a target, called a group: they have the same location, a similar
+ * pace, and are either all suspected or all not. The dispatcher chooses a group by its effective load. Since the
+ * workers of a group are similar, the job goes to the available one that was used least recently, which is also
+ * the dispatcher's rule for ties. Joining is O(groups); each operation for a job is O(1).
  *
  * @param <W> a worker
  */
 public final class WorkerGroups<W> {
-    /**
-     * A member whose runs take so much longer or shorter than its group's (natural logarithm) is not alike.
-     */
+    /** Difference in pace (natural logarithm of the run time) above which a member no longer fits its group. */
     private static final double PACE_GAP = Math.log(1.5);
-    /** Runs before a member's pace is compared with its group's, and between two such checks. */
+    /** Number of runs after which a member's pace is compared with its group's again. */
     private static final int RUNS_BETWEEN_CHECKS = 8;
-    /** Weight of one run in a pace once there are many. */
-    private static final double GAIN = 0.1;
-    /** A run moves a pace by no more (natural logarithm): run times are heavy-tailed. */
-    private static final double MAX_STEP = 1.5;
+    /** Smoothing factor: the weight of the latest run in a pace after many runs. */
+    private static final double SMOOTHING_FACTOR = 0.1;
+    /** Bound on how far one run changes a pace (natural logarithm), since run times are heavy-tailed. */
+    private static final double MAX_PACE_STEP = 1.5;
 
-    /** Where a worker is. */
+    /** The zone and cell of a worker. */
     public record Location(String zone, int cell) {}
 
-    /** One egress target. */
+    /** Similar workers that form one egress target. */
     public static final class Group<W> {
         public final long id;
         public final Location location;
-        /** Whether its members are suspected; such ones are kept apart. */
+        /** Whether its members are suspected; suspected workers share no group with others. */
         final boolean suspected;
 
         private final LinkedHashSet<Member<W>> available = new LinkedHashSet<>();
@@ -45,12 +43,12 @@
         private int jobsInFlight;
         private double pace;
         private int runs;
-        /** Whether the dispatcher was last told that it is ready. */
+        /** Whether the group was last announced to the dispatcher as ready. */
         public boolean announcedReady;
 
-        /** Whether the dispatcher knows of it. */
+        /** Whether the group has been announced to the dispatcher. */
         public boolean announced;
-        /** When the dispatcher last had a load report of it, in nanoseconds of the host's clock. */
+        /** When its load was last reported to the dispatcher, in nanoseconds of the host's clock. */
         public long reportedAtNs;
 
         Group(long id, Location location, boolean suspected) {
@@ -59,7 +57,7 @@
             this.suspected = suspected;
         }
 
-        /** Workers of the group, available or not. */
+        /** Number of workers of the group, available or not. */
         public int members() {
             return members;
         }
@@ -69,23 +67,23 @@
             return !available.isEmpty();
         }
 
-        /** Workers that may be given a job now. */
+        /** Number of workers of the group that may be given a job now. */
         public int availableWorkers() {
             return available.size();
         }
 
-        /** Slots of its members together. */
+        /** Sum of its members' slots. */
         public int slots() {
             return slots;
         }
 
-        /** Jobs that its members hold, of whatever function. */
+        /** Number of jobs that its members hold, of any function. */
         public int jobsInFlight() {
             return jobsInFlight;
         }
     }
 
-    /** A worker as one of those that can do this function. */
+    /** A worker in its role as a member of this function's groups. */
     public static final class Member<W> {
         public final W worker;
         private Group<W> group;
@@ -101,7 +99,7 @@
             this.worker = worker;
         }
 
-        /** The target that it shares now. */
+        /** The group that it belongs to now. */
         public Group<W> group() {
             return group;
         }
@@ -118,20 +116,20 @@
     private long lastId;
     private int available;
     private final Set<Member<W>> members = new LinkedHashSet<>();
-    private double meanLog;
+    private double meanLogRunTime;
     private long runs;
 
-    /** @param maxTargets groups that workers may be spread over before they share; at least 1 */
+    /** @param maxTargets number of groups up to which each worker has its own; at least 1 */
     public WorkerGroups(int maxTargets) {
         this.maxTargets = maxTargets;
     }
 
-    /** Workers that may be given a job now, of all groups. */
+    /** Number of workers of all groups that may be given a job now. */
     public int availableWorkers() {
         return available;
     }
 
-    /** All workers, available or not. */
+    /** Number of workers, available or not. */
     public int memberCount() {
         return members.size();
     }
@@ -141,17 +139,17 @@
         return members;
     }
 
-    /** All groups, in the order in which they were made. */
+    /** All groups, in the order in which they were created. */
     public Collection<Group<W>> groups() {
         return groups.values();
     }
 
-    /** The group of an id, or null when it has no members any more. */
+    /** The group with that id, or null if it has lost its last member. */
     public Group<W> find(long id) {
         return groups.get(id);
     }
 
-    /** WorkerGroups that have lost their last member since the last call. */
+    /** Returns the groups that have lost their last member since the last call. */
     public List<Group<W>> drainEmptied() {
         if (emptied.isEmpty()) {
             return List.of();
@@ -161,7 +159,7 @@
         return all;
     }
 
-    /** A worker that can do the function from now now; it is not available yet. */
+    /** Adds a worker that can do the function from now on; it is not available yet. */
     public Member<W> join(W worker, Location location) {
         Member<W> member = new Member<>(worker);
         members.add(member);
@@ -169,14 +167,14 @@
         return member;
     }
 
-    /** A worker can do the function no longer. */
+    /** Removes a worker that can no longer do the function. */
     public void leave(Member<W> member) {
         setAvailable(member, false);
         removeFromGroup(member);
         members.remove(member);
     }
 
-    /** The worker is at that location from now on. */
+    /** Sets the worker's location, which may move it to another group. */
     public void updateLocation(Member<W> member, Location location) {
         if (!member.group.location.equals(location)) {
             migrate(member, location);
@@ -203,7 +201,7 @@
             }
         }
         if (best == null) {
-            // A new location, or suspicion, gets a target of its own even over the bound.
+            // The first worker of a location, or the first suspected one there, gets a group even past the bound.
             best = new Group<>(++lastId, location, member.suspected);
             best.pace = member.pace;
             groups.put(best.id, best);
@@ -214,7 +212,10 @@
         best.jobsInFlight += member.jobsInFlight;
     }
 
-    /** Nearer in pace, by whole steps of the gap; of those equally near the smaller. */
+    /**
+     * Whether a group is closer in pace to a member than another, in whole multiples of the gap; among equally close
+     * ones, the group with fewer members is closer.
+     */
     private boolean isCloser(Member<W> member, Group<W> candidate, Group<W> other) {
         long candidateGap = Math.round(Math.abs(candidate.pace - member.pace) / PACE_GAP);
         long otherGap = Math.round(Math.abs(other.pace - member.pace) / PACE_GAP);
@@ -232,7 +233,7 @@
         }
     }
 
-    /** Whether the worker may be given a job now; the one that became available first is used first. */
+    /** Sets whether the worker may be given a job now; the worker that became available first is used first. */
     public void setAvailable(Member<W> member, boolean now) {
         if (member.available != now) {
             member.available = now;
@@ -245,7 +246,7 @@
         }
     }
 
-    /** Jobs in flight at the worker and the most it can hold, of whatever function. */
+    /** Updates the worker's jobs in flight and the most it can hold, both of any function. */
     public void updateLoad(Member<W> member, int jobsInFlight, int slots) {
         member.group.jobsInFlight += jobsInFlight - member.jobsInFlight;
         member.group.slots += slots - member.slots;
@@ -259,21 +260,21 @@
     }
 
     /**
-     * A run of {@code runNs} nanoseconds has succeeded: its time tells the worker's pace, and one that is no
-     * longer alike moves. The member's own runs against the function's, since jobs of one function are what
-     * can be compared.
+     * Records a successful run of {@code runNs} nanoseconds. The run time updates the worker's pace, and a worker
+     * that no longer fits its group moves to another. The pace is relative to the mean of the function's runs,
+     * since only jobs of the same function are comparable. A suspected worker is no longer suspected.
      */
     public void recordSuccess(Member<W> member, long runNs) {
-        double logRun = Math.log(Math.max(1, runNs));
+        double logRunTime = Math.log(Math.max(1, runNs));
         runs++;
-        meanLog += (logRun - meanLog) * Math.max(0.01, 1.0 / runs);
+        meanLogRunTime += (logRunTime - meanLogRunTime) * Math.max(0.01, 1.0 / runs);
         member.runs++;
         member.errors = 0;
-        double deviation = Math.max(-MAX_STEP, Math.min(MAX_STEP, logRun - meanLog - member.pace));
-        member.pace += deviation * Math.max(GAIN, 1.0 / (member.runs + 1));
+        double deviation = Math.max(-MAX_PACE_STEP, Math.min(MAX_PACE_STEP, logRunTime - meanLogRunTime - member.pace));
+        member.pace += deviation * Math.max(SMOOTHING_FACTOR, 1.0 / (member.runs + 1));
         Group<W> group = member.group;
         group.runs++;
-        group.pace += (member.pace - group.pace) * Math.max(GAIN, 1.0 / group.runs);
+        group.pace += (member.pace - group.pace) * Math.max(SMOOTHING_FACTOR, 1.0 / group.runs);
         boolean outOfPace = group.members > 1
                 && member.runs % RUNS_BETWEEN_CHECKS == 0
                 && Math.abs(member.pace - group.pace) > PACE_GAP;
@@ -285,7 +286,7 @@
         }
     }
 
-    /** Whether another group of the location is closer in pace, or one more may be made. */
+    /** Whether another group of the location is close in pace, or one more group may be created. */
     private boolean closerGroupExists(Member<W> member) {
         for (Group<W> each : groups.values()) {
             if (each != member.group
@@ -299,8 +300,9 @@
     }
 
     /**
-     * It did not answer a wake-up, or timed out: apart from those alike, so that the suspicion of the dispatcher
-     * falls on it and not on them. Alone in its group it stays where it is.
+     * Moves a worker that did not answer a wake-up, or whose job timed out, to a group of suspected workers, so that
+     * the dispatcher's suspicion of the target does not affect the other workers. A worker that is alone in its
+     * group stays there.
      */
     public void suspect(Member<W> member) {
         if (!member.suspected && member.group.members > 1) {
@@ -309,7 +311,10 @@
         }
     }
 
-    /** A job failed there; one failure tells of the job, three in a row of the worker. */
+    /**
+     * Records a failed job. One or two failures are attributed to the jobs; after three in a row the worker is
+     * suspected.
+     */
     public void recordFailure(Member<W> member) {
         if (++member.errors >= 3) {
             member.errors = 0;
