--- a/src/main/java/beechseam/gearman/protocol/Arguments.java
+++ b/src/main/java/beechseam/gearman/protocol/Arguments.java
@@ -5,9 +5,9 @@
 import java.util.Arrays;
 
 /**
- * The arguments of one packet as slices of where its body lies; none is copied until it is asked for as bytes
- * or text. A body that the decoder read into an array of its own may be kept as it is; another is void after
- * the call.
+ * The arguments of one packet as slices of the array that contains its body; an argument is copied only when it is
+ * read as bytes or text. A body that the decoder read into an array of its own can be retained without a copy.
+ * Any other body lies in the read buffer and is valid only during the call that passes the arguments.
  */
 public final class Arguments {
     private final byte[] array;
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Parts a body at its NULs; the last argument takes the rest, NULs and all.
+     * Splits a body into arguments at its NULs; the last argument is the rest of the body, including any NULs.
      *
-     * @param owned whether the array is the packet's own
-     * @return null when there are too few; extra NULs are part of the last
+     * @param owned whether the array contains only this packet's body and is not reused
+     * @return the arguments, or null if the body has fewer than {@code count}
      */
     public static Arguments of(byte[] array, int offset, int length, int count, boolean owned) {
         Arguments arguments = new Arguments(array, count, owned);
@@ -49,17 +49,17 @@
         return arguments;
     }
 
-    /** How many arguments there are. */
+    /** Number of arguments. */
     public int count() {
         return starts.length;
     }
 
-    /** Bytes of argument i. */
+    /** Length of argument i in bytes. */
     public int length(int i) {
         return ends[i] - starts[i];
     }
 
-    /** Argument i as text; bytes that are no UTF-8 become the replacement character. */
+    /** Argument i as text; bytes that are not valid UTF-8 become the replacement character. */
     public String text(int i) {
         return new String(array, starts[i], length(i), StandardCharsets.UTF_8);
     }
@@ -69,18 +69,18 @@
         return Arrays.copyOfRange(array, starts[i], ends[i]);
     }
 
-    /** Argument i as a buffer that outlives the packet: its own array is kept, any other copied. */
+    /** Argument i as a buffer that stays valid after the call; it is copied only if the array is not owned. */
     public ByteBuffer retained(int i) {
         return owned ? ByteBuffer.wrap(array, starts[i], length(i)) : ByteBuffer.wrap(bytes(i));
     }
 
-    /** Whether argument i is all that the given text is, byte for byte. */
+    /** Whether argument i equals the given text, byte for byte. */
     public boolean is(int i, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return Arrays.equals(array, starts[i], ends[i], bytes, 0, bytes.length);
     }
 
-    /** Whether the body lies in an array of its own. */
+    /** Whether the body is in an array of its own. */
     public boolean owned() {
         return owned;
     }
--- a/src/main/java/beechseam/gearman/protocol/Packet.java
+++ b/src/main/java/beechseam/gearman/protocol/Packet.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The packets of Gearman's binary protocol in the order of its published list, with who may send each and how
- * many arguments it carries. Number 5 was never given out.
+ * The packet types of Gearman's binary protocol in the order of its published list, with the side that may send
+ * each and its number of arguments. The protocol does not assign number 5.
  */
 public enum Packet {
     CAN_DO(1, 1, Side.WORKER),
@@ -50,7 +50,7 @@
     GET_STATUS_UNIQUE(41, 1, Side.CLIENT),
     STATUS_RES_UNIQUE(42, 6, Side.SERVER);
 
-    /** Who sends a packet. */
+    /** The side that sends a packet. */
     public enum Side {
         CLIENT,
         WORKER,
@@ -58,12 +58,14 @@
         SERVER
     }
 
-    /** Bytes of the frame: magic, number, length. */
+    /** Length of the packet header in bytes: magic, packet number and body length. */
     public static final int HEADER = 12;
-    /** The magic of what a server is sent, {@code \0REQ}, and of what it says, {@code \0RES}. */
+    /** The magic of packets to a server, {@code \0REQ}. */
     public static final int REQ = 0x00524551;
 
+    /** The magic of packets from a server, {@code \0RES}. */
     public static final int RES = 0x00524553;
+
     private static final Packet[] BY_CODE = new Packet[43];
 
     static {
@@ -73,7 +75,7 @@
     }
 
     public final int code;
-    /** How many arguments it has; NULs part them, and the last may hold any bytes. */
+    /** Number of arguments; they are separated by NULs, and the last may contain any bytes. */
     public final int arguments;
 
     public final Side side;
@@ -84,25 +86,26 @@
         this.side = side;
     }
 
-    /** The packet of a number, or null. */
+    /** The packet type with that number, or null. */
     public static Packet of(int code) {
         return code >= 0 && code < BY_CODE.length ? BY_CODE[code] : null;
     }
 
-    /** What a server says, whole. Arguments are byte arrays, or anything whose text is meant. */
+    /** Encodes a complete packet from a server. An argument is a byte array or an object that is sent as text. */
     public ByteBuffer response(Object... args) {
         return frame(RES, 0, args);
     }
 
-    /** What a server is sent, whole. */
+    /** Encodes a complete packet to a server. */
     public ByteBuffer request(Object... args) {
         return frame(REQ, 0, args);
     }
 
     /**
-     * What a server says but for its last argument, which follows as a buffer of its own and is not copied.
+     * Encodes a packet from a server without its last argument, which the caller writes after it from another
+     * buffer, so that it is not copied.
      *
-     * @param last bytes of the last argument
+     * @param last length of the last argument in bytes
      */
     public ByteBuffer responseBefore(int last, Object... args) {
         return frame(RES, last, args);
@@ -110,7 +113,9 @@
 
     private ByteBuffer frame(int magic, int last, Object... args) {
         byte[][] parts = new byte[args.length][];
-        int size = last == 0 ? Math.max(0, args.length - 1) : args.length; // a NUL before what follows
+        int size = last == 0
+                ? Math.max(0, args.length - 1)
+                : args.length; // NULs between arguments and before a separate last one
         for (int i = 0; i < args.length; i++) {
             parts[i] =
                     args[i] instanceof byte[] bytes ? bytes : args[i].toString().getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
+++ b/src/main/java/beechseam/gearman/protocol/PacketDecoder.java
@@ -3,57 +3,58 @@
 import java.nio.ByteBuffer;
 
 /**
- * Takes packets out of a stream of bytes. A packet that the read buffer holds whole is handed on as slices of
- * it; a longer one is read into an array of its own size, for which the owner is asked first, so that no
- * length that lies costs memory. States: {@link State}; each step that needs more bytes than there are
- * returns. A fault of the frame ends the decoder, since nothing that follows can be understood. O(1) memory
- * besides the packet in hand.
+ * Decodes packets from a stream of bytes. A packet that fits the read buffer is passed on as slices of it. A longer
+ * one is read into an array of its own, after the owner has agreed, so that a false length field does not make the
+ * decoder allocate memory. {@link State} lists the states; a step that needs more bytes than are available
+ * returns. A malformed frame ends the decoder, since the start of the next packet is then unknown. Besides the
+ * packet being read, the decoder needs O(1) memory.
  */
 public final class PacketDecoder {
     /** What the decoder waits for. */
     public enum State {
         /** The header of the next packet. */
         HEADER,
-        /** The rest of a body that fits the read buffer; the header is still unread. */
+        /** The rest of a body that fits the read buffer; the header has not been consumed yet. */
         BODY,
         /** The rest of a body that is read into an array of its own. */
         LONG_BODY,
-        /** The rest of a body that is dropped. */
+        /** The rest of a body that is discarded. */
         SKIPPING,
-        /** Nothing: a fault of the frame has ended it. */
+        /** Nothing: a malformed frame has ended the decoder. */
         BROKEN
     }
 
-    /** Where in a header the packet's number and the bytes of its body stand. */
+    /** Offset of the packet number in a header. */
     private static final int CODE_OFFSET = 4;
 
+    /** Offset of the body's length in a header. */
     private static final int SIZE_OFFSET = 8;
 
-    /** What to do with a packet that does not fit the read buffer. */
+    /** The owner's decision on a packet that does not fit the read buffer. */
     public enum Verdict {
         /** Read it into an array of its own. */
         TAKE,
-        /** Not now: {@link #decode} returns with the header unread; it is asked again at the next call. */
+        /** Wait: {@link #decode} leaves the header unread, and its next call asks the owner again. */
         WAIT,
-        /** Drop its bytes as they come; the stream stays in step. */
+        /** Discard its bytes as they arrive and continue with the next packet. */
         SKIP
     }
 
-    /** Who is told of packets. */
+    /** Receives the decoded packets and decides on long ones. */
     public interface Owner {
-        /** A packet of a known number, {@code args} null where it has too few arguments. */
+        /** Receives a packet of a known number; {@code args} is null if it has too few arguments. */
         void packet(Packet kind, Arguments args);
 
-        /** A frame that is whole and of no known number. */
+        /** Receives the number of a packet that is well-formed but of no known number. */
         void unknown(int code);
 
-        /** A packet longer than the read buffer is about to be read. Asked once, but for WAIT. */
+        /** Decides on a packet that is longer than the read buffer; called once, and again only after WAIT. */
         Verdict longPacket(Packet kind, int size);
 
-        /** The stream cannot be understood: wrong magic, or a length that is negative or over the bound. */
+        /** Reports a malformed frame: a wrong magic, or a length that is negative or above the bound. */
         void broken(String code, String why);
 
-        /** No more packets are wanted just now: what is unread stays unread. */
+        /** Whether decoding is paused; unread bytes then stay in the buffer. */
         boolean paused();
     }
 
@@ -68,9 +69,9 @@
     private long bytesToSkip;
 
     /**
-     * @param magic           of the packets that are understood, {@link Packet#REQ} or {@link Packet#RES}
-     * @param maxBodyBytes    bytes of a body at most
-     * @param maxInPlaceBytes bytes of a body up to which it is waited for in the read buffer
+     * @param magic           magic of the packets to decode, {@link Packet#REQ} or {@link Packet#RES}
+     * @param maxBodyBytes    greatest length of a body
+     * @param maxInPlaceBytes greatest length of a body that is decoded from the read buffer
      */
     public PacketDecoder(Owner owner, int magic, int maxBodyBytes, int maxInPlaceBytes) {
         this.owner = owner;
@@ -79,25 +80,25 @@
         this.maxInPlaceBytes = maxInPlaceBytes;
     }
 
-    /** What it waits for now. */
+    /** What the decoder waits for now. */
     public State state() {
         return state;
     }
 
-    /** Whether a packet has begun and is not whole, in an array of its own or as bytes to drop. */
+    /** Whether a long packet is partly read, into an array of its own or as bytes to discard. */
     public boolean insideLongPacket() {
         return state == State.LONG_BODY || state == State.SKIPPING;
     }
 
-    /** Bytes that an unfinished long packet has been given room for; 0 for none. */
-    public int inHand() {
+    /** Bytes that are allocated for a partly read long packet; 0 for none. */
+    public int allocatedBytes() {
         return state == State.LONG_BODY ? body.length : 0;
     }
 
     /**
-     * Decodes all packets that a buffer holds and leaves the rest unread.
+     * Decodes all complete packets in a buffer and leaves the rest unread.
      *
-     * @param in a buffer with an array, as the read buffers are
+     * @param in a buffer that is backed by an array
      */
     public void decode(ByteBuffer in) {
         while (next(in)) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /** A part of a packet, or one; false when more bytes are needed, or the owner wants to wait. */
+    /** Decodes one packet or a part of it; false if more bytes are needed or the owner is paused or waits. */
     public boolean next(ByteBuffer in) {
         if (!in.hasRemaining() || owner.paused()) {
             return false;
@@ -118,7 +119,7 @@
         };
     }
 
-    /** Reads a header, and its body where the buffer holds that whole. */
+    /** Reads a header, and the body if the buffer contains all of it. */
     private boolean header(ByteBuffer in) {
         int start = in.position();
         if (!magicMatches(in, start)) {
@@ -153,7 +154,7 @@
         return true;
     }
 
-    /** Checked byte by byte as they come: a peer of another protocol may never send a whole header. */
+    /** Checks the bytes of the magic that have arrived: a peer of another protocol may never send a whole header. */
     private boolean magicMatches(ByteBuffer in, int start) {
         for (int i = 0; i < Integer.BYTES && i < in.remaining(); i++) {
             if (in.get(start + i) != (byte) (magic >>> 24 - 8 * i)) {
@@ -163,7 +164,7 @@
         return true;
     }
 
-    /** The header of a packet that does not fit the read buffer: its owner says what becomes of the body. */
+    /** Begins a packet that does not fit the read buffer; the owner decides whether to read or discard its body. */
     private boolean beginLongPacket(ByteBuffer in, int code, int size) {
         Verdict verdict = kind == null ? Verdict.SKIP : owner.longPacket(kind, size);
         if (verdict == Verdict.WAIT) {
--- a/src/main/java/beechseam/gearman/protocol/package-info.java
+++ b/src/main/java/beechseam/gearman/protocol/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Gearman's binary protocol: the packets, what they carry, and a decoder that takes them from slices of a
- * read buffer. It knows nothing of jobs, sessions or sockets and may use {@code java.*} only. Used by the
- * Gearman front, the conformance suite and the stand-ins of the tests.
+ * Gearman's binary protocol: the packet types, their arguments, and a decoder that reads packets from a read
+ * buffer. The package is independent of jobs, sessions and sockets and depends on {@code java.*} only. Used by the
+ * Gearman front end, the conformance suite and the clients and workers of the tests.
  */
 package beechseam.gearman.protocol;
--- a/src/test/java/beechseam/gearman/protocol/PacketDecoderTest.java
+++ b/src/test/java/beechseam/gearman/protocol/PacketDecoderTest.java
@@ -10,11 +10,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The decoder against any cut of its bytes, and against lengths that lie. */
+/** Tests the packet decoder with arbitrary fragmentation, malformed frames and false lengths. */
 class PacketDecoderTest {
     private static final int IN_PLACE = 32;
 
-    /** Notes what it is told, as one text each. */
+    /** Records each event as a line of text. */
     private static final class RecordingOwner implements PacketDecoder.Owner {
         final List<String> events = new ArrayList<>();
         PacketDecoder.Verdict verdict = PacketDecoder.Verdict.TAKE;
@@ -22,11 +22,11 @@
 
         @Override
         public void packet(Packet kind, Arguments args) {
-            StringBuilder s = new StringBuilder(kind.name());
+            StringBuilder line = new StringBuilder(kind.name());
             for (int i = 0; args != null && i < args.count(); i++) {
-                s.append('|').append(args.text(i));
+                line.append('|').append(args.text(i));
             }
-            events.add(args == null ? kind + " lacks" : s.toString());
+            events.add(args == null ? kind + " with too few arguments" : line.toString());
         }
 
         @Override
@@ -52,17 +52,18 @@
     }
 
     /**
-     * Feeds the bytes in pieces, as a connection does: what is not used up comes again before the next piece.
+     * Decodes the bytes in fragments, as a connection does: unread bytes stay in the buffer for the next call.
+     * Fragments have random lengths, or one byte each if {@code random} is null.
      */
     private static void feed(PacketDecoder decoder, byte[] bytes, Random random) {
-        ByteBuffer in = ByteBuffer.allocate(bytes.length + 64);
-        for (int at = 0; at < bytes.length; ) {
-            int n = Math.min(bytes.length - at, random == null ? 1 : 1 + random.nextInt(40));
-            in.put(bytes, at, n);
-            at += n;
-            in.flip();
-            decoder.decode(in);
-            in.compact();
+        ByteBuffer buffer = ByteBuffer.allocate(bytes.length + 64);
+        for (int offset = 0; offset < bytes.length; ) {
+            int length = Math.min(bytes.length - offset, random == null ? 1 : 1 + random.nextInt(40));
+            buffer.put(bytes, offset, length);
+            offset += length;
+            buffer.flip();
+            decoder.decode(buffer);
+            buffer.compact();
         }
     }
 
@@ -74,23 +75,23 @@
         for (int i = 0; i < 12; i++) {
             Packet kind = Packet.values()[random.nextInt(Packet.values().length)];
             Object[] args = new Object[kind.arguments];
-            StringBuilder s = new StringBuilder(kind.name());
+            StringBuilder line = new StringBuilder(kind.name());
             for (int a = 0; a < args.length; a++) {
                 args[a] = "v".repeat(random.nextInt(30)) + (a == args.length - 1 && random.nextBoolean() ? "\0" : "");
-                s.append('|').append(args[a]);
+                line.append('|').append(args[a]);
             }
-            expected.add(s.toString());
+            expected.add(line.toString());
             all.put(kind.request(args));
         }
         byte[] bytes = new byte[all.flip().remaining()];
         all.get(bytes);
-        for (Random cut : new Random[] {null, random}) {
+        for (Random fragmentation : new Random[] {null, random}) {
             RecordingOwner recorder = new RecordingOwner();
             PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 1 << 20, IN_PLACE);
-            feed(decoder, bytes, cut);
+            feed(decoder, bytes, fragmentation);
             assertEquals(expected, recorder.events);
             assertEquals(PacketDecoder.State.HEADER, decoder.state());
-            assertEquals(0, decoder.inHand());
+            assertEquals(0, decoder.allocatedBytes());
         }
     }
 
@@ -100,18 +101,18 @@
         RecordingOwner recorder = new RecordingOwner();
         PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 2000, IN_PLACE);
         recorder.verdict = PacketDecoder.Verdict.WAIT;
-        ByteBuffer in = ByteBuffer.wrap(packet);
-        decoder.decode(in);
-        decoder.decode(in);
-        assertEquals(2, recorder.verdictRequests, "asked again each time");
-        assertEquals(0, in.position(), "and nothing is used up");
+        ByteBuffer buffer = ByteBuffer.wrap(packet);
+        decoder.decode(buffer);
+        decoder.decode(buffer);
+        assertEquals(2, recorder.verdictRequests, "the owner is asked again at each call");
+        assertEquals(0, buffer.position(), "the header stays unread while the owner waits");
         recorder.verdict = PacketDecoder.Verdict.TAKE;
-        decoder.decode(in);
+        decoder.decode(buffer);
         assertEquals(List.of("ECHO_REQ|" + "x".repeat(1000)), recorder.events);
         recorder.verdict = PacketDecoder.Verdict.SKIP;
         feed(decoder, packet, new Random(1));
         feed(decoder, Packet.NOOP.request().array(), null);
-        assertEquals("NOOP", recorder.events.get(1), "a skipped packet leaves the stream in step");
+        assertEquals("NOOP", recorder.events.get(1), "the packet after a skipped one is decoded");
         assertEquals(2, recorder.events.size());
     }
 
@@ -138,10 +139,10 @@
     void packetOfUnknownNumberIsSkippedWhole() {
         RecordingOwner recorder = new RecordingOwner();
         PacketDecoder decoder = new PacketDecoder(recorder, Packet.REQ, 2000, IN_PLACE);
-        ByteBuffer odd =
+        ByteBuffer unknownPacket =
                 ByteBuffer.allocate(12 + 500).putInt(Packet.REQ).putInt(99).putInt(500);
-        feed(decoder, odd.array(), new Random(2));
+        feed(decoder, unknownPacket.array(), new Random(2));
         feed(decoder, Packet.SUBMIT_JOB.request("f").array(), null);
-        assertEquals(List.of("unknown 99", "SUBMIT_JOB lacks"), recorder.events);
+        assertEquals(List.of("unknown 99", "SUBMIT_JOB with too few arguments"), recorder.events);
     }
 }
