--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -236,7 +236,7 @@
 
     @Override
     public void shed(Request request, long retryAfterNs) {
-        // WORK_FAIL carries no text: clients that asked for exceptions get the retry delay in one before it.
+        // WORK_FAIL carries no text: clients that asked for exceptions get the delay in a WORK_EXCEPTION before it.
         forward(
                 Packet.WORK_EXCEPTION,
                 ByteBuffer.wrap(String.format(Locale.ROOT, "busy: retry after %.3f s", retryAfterNs / 1e9)
--- a/src/test/java/beechseam/gearman/queue/FairQueueTest.java
+++ b/src/test/java/beechseam/gearman/queue/FairQueueTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** QueuedJob jobs: turns, priorities, ageing, the clock and the bounds, against plain models. */
+/** Tests queues, arbitration, schedule and admission: round robin, priorities, ageing, due times and bounds. */
 class FairQueueTest {
     private static final class Job implements QueuedJob {
         final int client;
@@ -40,7 +40,10 @@
         }
     }
 
-    /** The model: a ring of clients, each with its jobs; a client that has none loses its place. */
+    /**
+     * Compares the queue with a model: clients in round-robin order, each with its jobs. A client without jobs is
+     * removed from the order.
+     */
     @Property(seed = "31", tries = 200)
     void clientsAreServedRoundRobinAsJobsAreAddedAndRemoved(@ForAll long seed) {
         Random random = new Random(seed);
@@ -48,15 +51,15 @@
         Map<Integer, ArrayDeque<Job>> model = new LinkedHashMap<>();
         List<Job> all = new ArrayList<>();
         for (int step = 0; step < 400; step++) {
-            int pick = random.nextInt(10);
-            if (pick < 5) {
+            int action = random.nextInt(10);
+            if (action < 5) {
                 Job job = new Job(random.nextInt(6), 0, step);
                 queue.add(job.client, job);
                 model.computeIfAbsent(job.client, c -> new ArrayDeque<>()).add(job);
                 all.add(job);
-            } else if (pick < 8) {
+            } else if (action < 8) {
                 Job expected = null;
-                while (expected == null && !model.isEmpty()) { // a client whose jobs have all left is passed over
+                while (expected == null && !model.isEmpty()) { // skips clients whose jobs were all removed
                     Integer first = model.keySet().iterator().next();
                     ArrayDeque<Job> jobs = model.remove(first);
                     do {
@@ -66,10 +69,10 @@
                         model.put(first, jobs);
                     }
                 }
-                Job got = queue.poll();
-                assertSame(expected, got);
-                if (got != null) {
-                    got.queued = false;
+                Job polled = queue.poll();
+                assertSame(expected, polled);
+                if (polled != null) {
+                    polled.queued = false;
                     queue.trim();
                 }
             } else if (!all.isEmpty()) {
@@ -82,16 +85,21 @@
             List<Job> remaining = all.stream().filter(j -> j.queued).toList();
             assertEquals(remaining.size(), queue.size());
             assertSame(
-                    remaining.isEmpty() ? null : remaining.get(0), queue.oldest(), "in the order in which they came");
+                    remaining.isEmpty() ? null : remaining.get(0),
+                    queue.oldest(),
+                    "the oldest job is the one added first");
         }
     }
 
-    /** Those that left are swept: a million that come and leave again must not stay in memory. */
+    /**
+     * A removed job is only marked at first. Compaction must release it, so that a million jobs that are added and
+     * removed do not stay in memory.
+     */
     @Test
-    void removedJobsAreSweptFromMemory() {
+    void removedJobsAreReleasedFromMemory() {
         FairQueue<Job> queue = new FairQueue<>();
-        Job stays = new Job(0, 0, 0);
-        queue.add(0, stays);
+        Job queuedJob = new Job(0, 0, 0);
+        queue.add(0, queuedJob);
         for (int i = 0; i < 100_000; i++) {
             Job job = new Job(i % 7, 0, i);
             queue.add(job.client, job);
@@ -99,33 +107,33 @@
             queue.jobRemoved();
         }
         assertEquals(1, queue.size());
-        assertTrue(queue.retainedJobs() < 3000, "held: " + queue.retainedJobs());
-        assertSame(stays, queue.poll());
+        assertTrue(queue.retainedJobs() < 3000, "retained jobs: " + queue.retainedJobs());
+        assertSame(queuedJob, queue.poll());
     }
 
     @Test
     void mostUrgentLevelGoesFirstAndAgeingPreventsStarvation() {
         PriorityQueues<Job> queues = new PriorityQueues<>(3, 3, 16, 1000);
         queues.add(2, "low", new Job(0, 2, 0));
-        int turns = 0;
-        Job got;
-        do { // a stream of urgent ones that never ends
+        int polls = 0;
+        Job polled;
+        do { // an urgent job is always queued
             queues.add(0, "high", new Job(1, 0, 5000));
-            got = queues.poll(5000);
-            got.queued = false;
-            turns++;
-        } while (got.level == 0 && turns < 1000);
-        assertEquals(16, turns, "every 16th turn is for the oldest");
+            polled = queues.poll(5000);
+            polled.queued = false;
+            polls++;
+        } while (polled.level == 0 && polls < 1000);
+        assertEquals(16, polls, "every 16th poll takes the oldest job");
         queues.add(2, "low", new Job(0, 2, 4500));
         for (int i = 0; i < 100; i++) {
             queues.add(0, "high", new Job(1, 0, 5000));
-            Job young = queues.poll(5000);
-            young.queued = false;
-            assertEquals(0, young.level, "one that is not old yet has no claim");
+            Job next = queues.poll(5000);
+            next.queued = false;
+            assertEquals(0, next.level, "a job below the minimum age is not polled by age");
         }
     }
 
-    /** Foreground and background jobs of one priority share its bound. */
+    /** Levels of the same priority share its bound, as foreground and background jobs do. */
     @Test
     void eachPriorityHasItsBoundAndQueuedJobsStay() {
         PriorityQueues<Job> queues = new PriorityQueues<>(4, 2, 0, 0);
@@ -142,8 +150,8 @@
     }
 
     /**
-     * The function whose most urgent job is the higher goes first; of equals they take turns; the old get
-     * theirs.
+     * The function with the most urgent job is selected first, equal functions take turns, and every eighth selection
+     * goes to the function with the oldest job.
      */
     @Test
     void functionsAreArbitratedForAWorker() {
@@ -181,35 +189,35 @@
         Function b = new Function(1, 900);
         Function low = new Function(2, 0);
         FunctionArbiter<Function> arbiter = new FunctionArbiter<>(8, 500);
-        Map<Function, Integer> had = new HashMap<>();
+        Map<Function, Integer> selections = new HashMap<>();
         for (int i = 0; i < 80; i++) {
             arbiter.beginSelection(1000);
             for (Function f : List.of(a, b, low)) {
                 arbiter.offer(f);
             }
-            had.merge(arbiter.select(), 1, Integer::sum);
+            selections.merge(arbiter.select(), 1, Integer::sum);
         }
-        assertEquals(10, had.get(low));
-        assertEquals(35, had.get(a));
-        assertEquals(35, had.get(b));
+        assertEquals(10, selections.get(low));
+        assertEquals(35, selections.get(a));
+        assertEquals(35, selections.get(b));
         arbiter.beginSelection(1000);
         assertNull(arbiter.select());
     }
 
     @Test
     void delayedJobsComeDueInOrder() {
-        Schedule<String> clock = new Schedule<>();
-        clock.add(20, "c");
-        Schedule.Ticket b = clock.add(10, "b");
-        clock.add(10, "a");
-        assertEquals(10, clock.nextDueNs());
-        assertNull(clock.pollDue(9));
-        assertTrue(clock.remove(b));
-        assertFalse(clock.remove(b));
-        assertEquals("a", clock.pollDue(10));
-        assertNull(clock.pollDue(10));
-        assertEquals("c", clock.pollDue(1000));
-        assertEquals(Long.MAX_VALUE, clock.nextDueNs());
+        Schedule<String> schedule = new Schedule<>();
+        schedule.add(20, "c");
+        Schedule.Ticket b = schedule.add(10, "b");
+        schedule.add(10, "a");
+        assertEquals(10, schedule.nextDueNs());
+        assertNull(schedule.pollDue(9));
+        assertTrue(schedule.remove(b));
+        assertFalse(schedule.remove(b));
+        assertEquals("a", schedule.pollDue(10));
+        assertNull(schedule.pollDue(10));
+        assertEquals("c", schedule.pollDue(1000));
+        assertEquals(Long.MAX_VALUE, schedule.nextDueNs());
     }
 
     @Test
@@ -255,18 +263,18 @@
         assertTrue(memory.reason().contains("max_memory_mb"), memory.reason());
         queues.setLimit(0, 0);
         assertTrue(admission.check(0, 0, queues, 0, 1, budget).reason().contains("maxqueue"));
-        assertEquals(1000, budget.workloadBytes(), "who is turned away takes nothing");
+        assertEquals(1000, budget.workloadBytes(), "a rejected job reserves no bytes");
     }
 
     @Test
     void workloadsLeaveCapacityForResults() {
         ByteBudget budget = new ByteBudget(4000);
-        assertTrue(budget.reserveWorkload(9000), "one that is too large for all is let through alone");
+        assertTrue(budget.reserveWorkload(9000), "a workload above the budget is admitted if it is the only one");
         assertFalse(budget.reserveWorkload(1));
         assertTrue(budget.reserveResult(1000, 0));
         assertFalse(budget.reserveResult(1, 0));
         budget.releaseResult(1000);
-        assertFalse(budget.reserveResult(600, 500), "what clients have not read counts");
+        assertFalse(budget.reserveResult(600, 500), "bytes that clients have not read count");
         assertTrue(budget.reserveResult(9000, 0));
         budget.releaseWorkload(9000);
         assertTrue(budget.reserveWorkload(3000));
--- a/src/test/java/beechseam/gearman/queue/WorkerGroupsTest.java
+++ b/src/test/java/beechseam/gearman/queue/WorkerGroupsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Workers as a bounded number of targets, against a plain model of who is where. */
+/** Tests the grouping of workers into a bounded number of targets, also against a simple model of the members. */
 class WorkerGroupsTest {
     private static final Location HERE = new Location("a", 1);
     private static final Location THERE = new Location("b", 2);
@@ -27,26 +27,26 @@
         Map<Member<Integer>, int[]> loads = new HashMap<>();
         for (int step = 0; step < 300; step++) {
             Member<Integer> member = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
-            int pick = random.nextInt(9);
-            if (pick < 2 || member == null) {
+            int action = random.nextInt(9);
+            if (action < 2 || member == null) {
                 member = groups.join(step, random.nextBoolean() ? HERE : THERE);
                 all.add(member);
                 loads.put(member, new int[] {0, 1});
-            } else if (pick == 2) {
+            } else if (action == 2) {
                 groups.leave(member);
                 all.remove(member);
-            } else if (pick == 3) {
+            } else if (action == 3) {
                 groups.setAvailable(member, random.nextBoolean());
-            } else if (pick == 4) {
+            } else if (action == 4) {
                 int slots = 1 + random.nextInt(4);
                 int jobsInFlight = random.nextInt(slots + 1);
                 groups.updateLoad(member, jobsInFlight, slots);
                 loads.put(member, new int[] {jobsInFlight, slots});
-            } else if (pick == 5) {
+            } else if (action == 5) {
                 groups.recordSuccess(member, (member.worker % 3 + 1) * 1_000_000L);
-            } else if (pick == 6) {
+            } else if (action == 6) {
                 groups.suspect(member);
-            } else if (pick == 7) {
+            } else if (action == 7) {
                 groups.recordFailure(member);
             } else {
                 groups.updateLocation(member, random.nextBoolean() ? HERE : THERE);
@@ -59,18 +59,20 @@
             WorkerGroups<Integer> groups, List<Member<Integer>> all, Map<Member<Integer>, int[]> loads) {
         assertEquals(all.size(), groups.memberCount());
         assertEquals(all.stream().filter(Member::isAvailable).count(), groups.availableWorkers());
-        // Past the bound only a place, or doubt, that has no cohort yet makes one.
+        // Past the bound, a group is created only for the first worker of a location and suspicion: 2 * 2 at most.
         assertTrue(
                 groups.groups().size() <= 4 + 2 * 2,
                 "targets: " + groups.groups().size());
         for (Group<Integer> group : groups.groups()) {
-            List<Member<Integer>> in =
+            List<Member<Integer>> members =
                     all.stream().filter(member -> member.group() == group).toList();
-            assertEquals(in.size(), group.members());
+            assertEquals(members.size(), group.members());
             assertTrue(group.members() > 0);
-            assertEquals(in.stream().filter(Member::isAvailable).count(), group.availableWorkers());
-            assertEquals(in.stream().mapToInt(member -> loads.get(member)[0]).sum(), group.jobsInFlight());
-            assertEquals(in.stream().mapToInt(member -> loads.get(member)[1]).sum(), group.slots());
+            assertEquals(members.stream().filter(Member::isAvailable).count(), group.availableWorkers());
+            assertEquals(
+                    members.stream().mapToInt(member -> loads.get(member)[0]).sum(), group.jobsInFlight());
+            assertEquals(
+                    members.stream().mapToInt(member -> loads.get(member)[1]).sum(), group.slots());
             assertEquals(group.availableWorkers() > 0, groups.leastRecentlyUsed(group) != null);
         }
         for (Group<Integer> removed : groups.drainEmptied()) {
@@ -89,9 +91,11 @@
             groups.join(i, HERE);
         }
         assertEquals(4, groups.groups().size());
-        groups.groups().forEach(group -> assertEquals(100, group.members(), "the smallest of those alike is joined"));
+        groups.groups()
+                .forEach(group ->
+                        assertEquals(100, group.members(), "a worker joins the smallest group of similar workers"));
         groups.join(400, THERE);
-        assertEquals(5, groups.groups().size(), "another place is another target, whatever the bound");
+        assertEquals(5, groups.groups().size(), "another location has its own target even past the bound");
     }
 
     @Test
@@ -107,11 +111,12 @@
         groups.setAvailable(all.get(0), false);
         assertEquals(1, groups.leastRecentlyUsed(group));
         groups.setAvailable(all.get(0), true);
-        assertEquals(1, groups.leastRecentlyUsed(group), "one that has just run comes last");
+        assertEquals(1, groups.leastRecentlyUsed(group), "the worker that has just run is taken last");
     }
 
     /**
-     * Half of the workers are four times slower: the module can only scale by speed if they are kept apart.
+     * Half of the workers are four times slower. The dispatcher weights targets by speed, which works only if fast and
+     * slow workers are in different groups.
      */
     @Test
     void workersOfSimilarPaceShareAGroup() {
@@ -123,8 +128,8 @@
         }
         for (int run = 0; run < 200; run++) {
             for (Member<Integer> member : all) {
-                double slow = member.worker % 2 == 0 ? 1 : 4;
-                groups.recordSuccess(member, (long) (10e6 * slow * Math.exp(random.nextGaussian() * 0.3)));
+                double slowdown = member.worker % 2 == 0 ? 1 : 4;
+                groups.recordSuccess(member, (long) (10e6 * slowdown * Math.exp(random.nextGaussian() * 0.3)));
             }
         }
         int mixed = 0;
@@ -134,11 +139,12 @@
                     .count();
             mixed += Math.min(fast, group.members() - fast);
         }
-        assertTrue(mixed <= 3, "in the company of another pace: " + mixed + " of 60");
+        assertTrue(mixed <= 3, "workers in a group of the other pace: " + mixed + " of 60");
     }
 
     /**
-     * The module's doubt is of a target: one worker that does not answer must not cost the others their jobs.
+     * The dispatcher suspects whole targets, so a worker that does not answer is isolated: the other workers of its
+     * group must still get jobs.
      */
     @Test
     void suspectedWorkerIsIsolatedUntilItSucceeds() {
@@ -147,22 +153,22 @@
         for (int i = 0; i < 5; i++) {
             all.add(groups.join(i, HERE));
         }
-        Group<Integer> together = all.get(0).group();
-        Member<Integer> bad = all.get(2);
-        groups.setAvailable(bad, true);
-        groups.suspect(bad);
-        assertNotSame(together, bad.group());
-        assertTrue(bad.group().isReady(), "free as it was");
-        assertEquals(4, together.members());
+        Group<Integer> sharedGroup = all.get(0).group();
+        Member<Integer> suspectedMember = all.get(2);
+        groups.setAvailable(suspectedMember, true);
+        groups.suspect(suspectedMember);
+        assertNotSame(sharedGroup, suspectedMember.group());
+        assertTrue(suspectedMember.group().isReady(), "the worker stays available");
+        assertEquals(4, sharedGroup.members());
         groups.suspect(all.get(3));
-        assertSame(bad.group(), all.get(3).group(), "those in doubt share one");
-        groups.recordSuccess(bad, 1_000_000);
-        assertSame(together, bad.group());
+        assertSame(suspectedMember.group(), all.get(3).group(), "suspected workers share a group");
+        groups.recordSuccess(suspectedMember, 1_000_000);
+        assertSame(sharedGroup, suspectedMember.group());
         for (int i = 0; i < 2; i++) {
-            groups.recordFailure(bad);
+            groups.recordFailure(suspectedMember);
         }
-        assertSame(together, bad.group(), "a job or two that fail tell of the jobs");
-        groups.recordFailure(bad);
-        assertNotSame(together, bad.group());
+        assertSame(sharedGroup, suspectedMember.group(), "one or two failures are attributed to the jobs");
+        groups.recordFailure(suspectedMember);
+        assertNotSame(sharedGroup, suspectedMember.group());
     }
 }
