--- a/src/main/java/beechseam/gearman/GearmanFunction.java
+++ b/src/main/java/beechseam/gearman/GearmanFunction.java
@@ -14,20 +14,20 @@
 
 /**
  * One function with its queued and delayed jobs and its own engine and dispatcher; {@link FunctionWorkers}
- * has its workers. The function submits only as many jobs to the dispatcher as there are available workers.
+ * manages its workers. The function submits only as many jobs to the dispatcher as there are available workers.
  * A job that is about to run out of time is submitted in any case, so that the dispatcher decides whether to
  * shed it. A function without jobs is suspended: changes of its workers are not announced to the dispatcher
  * until the next job arrives, and then all workers are announced.
  */
 final class GearmanFunction implements FunctionArbiter.Contender {
-    /** Most jobs that one timer run moves when they expire or come due, so that the loop does other work in between. */
+    /** Limit on the jobs that expire or come due in one timer run, so that the loop does other work in between. */
     private static final int MAX_JOBS_PER_BATCH = 500;
 
     private static final long BATCH_GAP_NS = 1_000_000L;
     /**
-     * The shortest tick of the dispatcher; otherwise a latency objective has {@link #TICKS_PER_OBJECTIVE} ticks.
-     * The dispatcher gives up a job two ticks before its deadline. A job submitted at that moment is answered at
-     * once; one submitted later would be answered at the next tick, possibly after its deadline.
+     * The shortest tick of the dispatcher, which otherwise is a latency objective divided by
+     * {@link #TICKS_PER_OBJECTIVE}. The dispatcher gives up a job two ticks before its deadline. A job submitted at
+     * that moment is answered at once instead of at the next tick, which may be too late for an answer.
      */
     private static final long MIN_TICK_NS = 20_000_000L;
 
@@ -58,7 +58,7 @@
     int unplaced;
 
     private long lastTurn;
-    /** Whether it was configured or created by an operator; it then stays while unused, until an operator drops it. */
+    /** Whether it was configured or created by an operator and so stays, even if unused, until an operator drops it. */
     boolean pinned;
 
     private final Timer expiryTimer = new Timer() {
--- a/src/main/java/beechseam/gearman/GearmanJob.java
+++ b/src/main/java/beechseam/gearman/GearmanJob.java
@@ -20,7 +20,7 @@
  * number, and the list of clients exists only from the second client on.
  */
 final class GearmanJob implements Ingress, QueuedJob {
-    /** The stages of a job in their order. In each stage but ENDED the bytes of the workload are reserved. */
+    /** The stages of a job, which it passes only in this order; its workload's bytes are reserved until ENDED. */
     enum Stage {
         /** Waits for its due time. */
         DELAYED,
--- a/src/main/java/beechseam/gearman/protocol/Packet.java
+++ b/src/main/java/beechseam/gearman/protocol/Packet.java
@@ -113,9 +113,8 @@
 
     private ByteBuffer frame(int magic, int last, Object... args) {
         byte[][] parts = new byte[args.length][];
-        int size = last == 0
-                ? Math.max(0, args.length - 1)
-                : args.length; // NULs between arguments and before a separate last one
+        // Counts the NULs between the arguments and before a separate last one.
+        int size = last == 0 ? Math.max(0, args.length - 1) : args.length;
         for (int i = 0; i < args.length; i++) {
             parts[i] =
                     args[i] instanceof byte[] bytes ? bytes : args[i].toString().getBytes(StandardCharsets.UTF_8);
