--- a/src/main/java/beechseam/gearman/ClientSession.java
+++ b/src/main/java/beechseam/gearman/ClientSession.java
@@ -156,7 +156,7 @@
         }
         GearmanFunction function = server.function(name, connection);
         if (function != null
-                && function.of(mode).idempotency() == Idempotency.KEYED
+                && function.jobClass(mode).idempotency() == Idempotency.KEYED
                 && args.text(1).isEmpty()) {
             connection.error("NO_KEY", "jobs of this function need a unique key");
             return null;
@@ -172,7 +172,7 @@
             return null;
         }
         // The array of a long packet is kept and holds workload and key; the overhead covers the rest of the job.
-        int charge = Jobs.OVERHEAD + args.length(workload) + args.length(1);
+        int charge = Jobs.OVERHEAD_BYTES + args.length(workload) + args.length(1);
         Rejection rejection = server.admission.check(
                 server.jobs.size(), openJobs, function.queues, mode.ordinal(), charge, server.budget);
         if (rejection != null) {
@@ -180,9 +180,9 @@
             return null;
         }
         GearmanJob job = new GearmanJob(
-                server.jobs.next(),
+                server.jobs.nextNumber(),
                 function,
-                new GearmanJob.Submission(args.text(1), key, args.kept(workload), mode, reducer, this, charge));
+                new GearmanJob.Submission(args.text(1), key, args.retained(workload), mode, reducer, this, charge));
         server.jobs.add(job);
         openJobs++;
         function.alive++;
--- a/src/main/java/beechseam/gearman/GearmanConnection.java
+++ b/src/main/java/beechseam/gearman/GearmanConnection.java
@@ -96,7 +96,7 @@
         hasReceived = true;
         boolean more = true;
         while (more && in.hasRemaining() && !paused()) { // packets and lines may be mixed
-            more = decoder.within() || in.get(in.position()) == 0 ? decoder.next(in) : decodeLine(in);
+            more = decoder.insideLongPacket() || in.get(in.position()) == 0 ? decoder.next(in) : decodeLine(in);
         }
     }
 
@@ -214,7 +214,7 @@
     }
 
     private void echo(Arguments args) {
-        ByteBuffer data = args.kept(0);
+        ByteBuffer data = args.retained(0);
         if (data.remaining() > MAX_IN_PLACE_BYTES) {
             write(Packet.ECHO_RES.responseBefore(data.remaining()), data);
         } else {
@@ -291,7 +291,7 @@
 
     /** Closes a connection that stalls within a packet or does not read its output; an idle one stays open. */
     void sweep(long now, long stallNs) {
-        boolean incompleteInput = (hasUnused() || decoder.within()) && !readingPaused();
+        boolean incompleteInput = (hasUnused() || decoder.insideLongPacket()) && !readingPaused();
         if ((incompleteInput || unwritten() > 0 || ending()) && now - lastActivity() > stallNs) {
             close();
         }
