--- a/src/main/antlr4/beechseam/conformance/Transcript.g4
+++ b/src/main/antlr4/beechseam/conformance/Transcript.g4
@@ -1,4 +1,4 @@
-/* The language of the conformance suite's transcripts: who sends what, what must come, within what time. */
+/* Grammar of the conformance suite's transcripts: what each peer sends, and what it must receive in which time. */
 grammar Transcript;
 
 script : testCase* EOF ;
--- a/src/main/java/beechseam/conformance/Peer.java
+++ b/src/main/java/beechseam/conformance/Peer.java
@@ -11,17 +11,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One end of a transcript: keeps what it hears, as packets and lines, until the script asks for it. */
+/** A named connection of a transcript. It queues the received packets and lines until a step consumes them. */
 final class Peer extends Connection {
-    /** What the server said, in order: a packet with its arguments, or a line of an admin answer. */
-    record Heard(Packet packet, List<byte[]> args, String line) {}
+    /** A received message: a packet with its arguments, or a line of an admin answer ({@code packet} is null). */
+    record Received(Packet packet, List<byte[]> args, String line) {}
 
-    final ArrayDeque<Heard> heard = new ArrayDeque<>();
-    /** Why what came cannot be understood, or null. */
+    final ArrayDeque<Received> messages = new ArrayDeque<>();
+    /** Why the received bytes cannot be decoded, or null. */
     String fault;
 
-    boolean gone;
-    private byte[] rest = new byte[0];
+    boolean lost;
+    private byte[] undecoded = new byte[0];
 
     Peer(EventLoop loop, InetSocketAddress to) throws IOException {
         super(loop, null, 1 << 16);
@@ -35,74 +35,75 @@
 
     @Override
     protected void received(ByteBuffer in) {
-        int had = rest.length;
-        rest = Arrays.copyOf(rest, had + in.remaining());
-        in.get(rest, had, in.remaining());
+        int had = undecoded.length;
+        undecoded = Arrays.copyOf(undecoded, had + in.remaining());
+        in.get(undecoded, had, in.remaining());
         int at = 0;
-        for (int next = take(at); next > at; next = take(at)) {
+        for (int next = decodeNext(at); next > at; next = decodeNext(at)) {
             at = next;
         }
-        rest = Arrays.copyOfRange(rest, at, rest.length);
+        undecoded = Arrays.copyOfRange(undecoded, at, undecoded.length);
     }
 
-    /** Takes one packet or line from there; where the next begins, the same place when there is none. */
-    private int take(int at) {
-        if (at >= rest.length || fault != null) {
+    /** Decodes the packet or line at {@code at}; returns where the next begins, or {@code at} if it is incomplete. */
+    private int decodeNext(int at) {
+        if (at >= undecoded.length || fault != null) {
             return at;
         }
-        if (rest[at] != 0) {
-            for (int i = at; i < rest.length; i++) {
-                if (rest[i] == '\n') {
-                    heard.add(new Heard(
+        if (undecoded[at] != 0) {
+            for (int i = at; i < undecoded.length; i++) {
+                if (undecoded[i] == '\n') {
+                    messages.add(new Received(
                             null,
                             List.of(),
-                            new String(rest, at, i - at, java.nio.charset.StandardCharsets.UTF_8).stripTrailing()));
+                            new String(undecoded, at, i - at, java.nio.charset.StandardCharsets.UTF_8)
+                                    .stripTrailing()));
                     return i + 1;
                 }
             }
             return at;
         }
-        if (rest.length - at < Packet.HEADER) {
+        if (undecoded.length - at < Packet.HEADER) {
             return at;
         }
-        ByteBuffer head = ByteBuffer.wrap(rest, at, Packet.HEADER);
+        ByteBuffer head = ByteBuffer.wrap(undecoded, at, Packet.HEADER);
         int magic = head.getInt();
         Packet packet = Packet.of(head.getInt());
         int size = head.getInt();
         if (magic != Packet.RES || packet == null || size < 0) {
-            fault = "what came is no packet of the protocol";
+            fault = "the received bytes are no packet of the protocol";
             return at;
         }
-        if (rest.length - at - Packet.HEADER < size) {
+        if (undecoded.length - at - Packet.HEADER < size) {
             return at;
         }
-        heard.add(new Heard(packet, parts(at + Packet.HEADER, size, packet.arguments), null));
+        messages.add(new Received(packet, splitArguments(at + Packet.HEADER, size, packet.arguments), null));
         return at + Packet.HEADER + size;
     }
 
-    /** As many arguments as there are; fewer than the packet has are the script's to complain of. */
-    private List<byte[]> parts(int from, int size, int count) {
-        List<byte[]> parts = new ArrayList<>();
+    /** Splits the arguments; there may be fewer than the packet type requires, which the Expect step reports. */
+    private List<byte[]> splitArguments(int from, int size, int count) {
+        List<byte[]> arguments = new ArrayList<>();
         int end = from + size;
-        while (parts.size() < count - 1) {
+        while (arguments.size() < count - 1) {
             int nul = from;
-            while (nul < end && rest[nul] != 0) {
+            while (nul < end && undecoded[nul] != 0) {
                 nul++;
             }
             if (nul == end) {
                 break;
             }
-            parts.add(Arrays.copyOfRange(rest, from, nul));
+            arguments.add(Arrays.copyOfRange(undecoded, from, nul));
             from = nul + 1;
         }
         if (count > 0) {
-            parts.add(Arrays.copyOfRange(rest, from, end));
+            arguments.add(Arrays.copyOfRange(undecoded, from, end));
         }
-        return parts;
+        return arguments;
     }
 
     @Override
     protected void lost(IOException why) {
-        gone = true;
+        lost = true;
     }
 }
--- a/src/main/java/beechseam/conformance/Player.java
+++ b/src/main/java/beechseam/conformance/Player.java
@@ -19,17 +19,17 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 
-/** Plays cases against a server, one after the other, each with connections and names of its own. */
+/** Runs cases against a server one after another, each with its own connections and variables. */
 public final class Player implements AutoCloseable {
-    /** How a case went; {@code why} is null for one that passed. */
+    /** The result of a case; {@code why} is the reason of a failure and null for a passed case. */
     public record Result(Case of, String why, long tookNs) {
-        /** Whether the server answered as the transcript says. */
+        /** Returns whether the server answered as the transcript expects. */
         public boolean passed() {
             return why == null;
         }
     }
 
-    /** A step that did not come out as written. */
+    /** Thrown when a step of the transcript fails. */
     private static final class Failed extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -38,22 +38,22 @@
         }
     }
 
-    private static final int SHOWN = 60;
-    private static final long CONNECT_NS = 5_000_000_000L;
+    private static final int MAX_SHOWN_BYTES = 60;
+    private static final long CONNECT_TIMEOUT_NS = 5_000_000_000L;
 
     private final InetSocketAddress server;
     private final EventLoop loop;
-    private final String run;
+    private final String runId;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    private final Map<String, byte[]> names = new HashMap<>();
-    private int fresh;
+    private final Map<String, byte[]> variables = new HashMap<>();
+    private int uniqueNames;
 
     /**
-     * @param run goes into the names of functions and keys, so that a second run meets nothing of the first
+     * @param runId part of the names of functions and keys, so that a run does not meet jobs of an earlier one
      */
-    public Player(InetSocketAddress server, String run) throws IOException {
+    public Player(InetSocketAddress server, String runId) throws IOException {
         this.server = server;
-        this.run = run;
+        this.runId = runId;
         loop = new EventLoop();
     }
 
@@ -64,11 +64,11 @@
         loop.run(); // closes the selector
     }
 
-    /** Plays one case to its end or its first step that fails. */
+    /** Runs a case up to its end or to the first step that fails. */
     public Result play(Case c) throws IOException {
         long start = System.nanoTime();
         String why = null;
-        names.clear();
+        variables.clear();
         int at = 0;
         try {
             for (Step step : c.steps()) {
@@ -88,19 +88,19 @@
     private Peer peer(String name) throws IOException, Failed {
         Peer p = peers.get(name);
         if (p == null) {
-            p = dial();
+            p = connect();
             peers.put(name, p);
         }
         return p;
     }
 
-    private Peer dial() throws IOException, Failed {
+    private Peer connect() throws IOException, Failed {
         Peer p = new Peer(loop, server);
-        if (!until(CONNECT_NS, () -> !p.connecting())) {
+        if (!until(CONNECT_TIMEOUT_NS, () -> !p.connecting())) {
             throw new Failed("no connection to the server");
         }
-        if (p.gone) {
-            throw new Failed("the server takes no connection");
+        if (p.lost) {
+            throw new Failed("the server closed the connection");
         }
         return p;
     }
@@ -120,7 +120,7 @@
     private void play(Step step) throws IOException, Failed {
         if (step instanceof Step.Fresh s) {
             for (String name : s.names()) {
-                names.put(name, (name + "-" + run + "-" + ++fresh).getBytes(StandardCharsets.UTF_8));
+                variables.put(name, (name + "-" + runId + "-" + ++uniqueNames).getBytes(StandardCharsets.UTF_8));
             }
         } else if (step instanceof Step.Pause s) {
             until(s.ns(), () -> false);
@@ -136,13 +136,14 @@
         } else if (step instanceof Step.Expect s) {
             expect(s);
         } else if (step instanceof Step.Hears s) {
-            hears(s);
+            expectLines(s);
         } else if (step instanceof Step.Lists s) {
-            lists(s);
+            expectListLine(s);
         } else if (step instanceof Step.Quiet s) {
             Peer p = peer(s.peer());
-            if (until(s.ns(), () -> !p.heard.isEmpty() || p.gone)) {
-                throw new Failed(p.gone ? s.peer() + " was cut off" : s.peer() + " heard " + shown(p.heard.peek()));
+            if (until(s.ns(), () -> !p.messages.isEmpty() || p.lost)) {
+                throw new Failed(
+                        p.lost ? s.peer() + " was disconnected" : s.peer() + " received " + format(p.messages.peek()));
             }
         } else if (step instanceof Step.Close s) {
             peer(s.peer()).close();
@@ -150,8 +151,8 @@
             loop.turn(0);
         } else if (step instanceof Step.Closed s) {
             Peer p = peer(s.peer());
-            if (!until(s.withinNs(), () -> p.gone)) {
-                throw new Failed(s.peer() + " was not cut off in time");
+            if (!until(s.withinNs(), () -> p.lost)) {
+                throw new Failed(s.peer() + " was not disconnected in time");
             }
         }
     }
@@ -162,18 +163,18 @@
             args[i] = bytes(s.values().get(i));
         }
         ByteBuffer whole = s.packet().request(args);
-        switch (s.how()) {
+        switch (s.mode()) {
             case WHOLE -> peer(s.peer()).write(whole);
             case BYTE_BY_BYTE -> {
                 Peer p = peer(s.peer());
                 for (int i = 0; i < whole.limit(); i++) {
                     p.write(whole.slice(i, 1));
-                    loop.turn(0); // a write of its own each, so that the server may see each alone
+                    loop.turn(0); // a separate write per byte, so that the server may read each byte alone
                 }
             }
             case CUT_SHORT -> {
                 for (int i = 1; i < whole.limit(); i++) {
-                    Peer p = dial();
+                    Peer p = connect();
                     p.write(whole.slice(0, i));
                     loop.turn(0);
                     p.close();
@@ -184,13 +185,13 @@
     }
 
     private void expect(Step.Expect s) throws IOException, Failed {
-        Peer.Heard next = next(s.peer(), s.packet().name(), s.withinNs());
+        Peer.Received next = next(s.peer(), s.packet().name(), s.withinNs());
         if (next.packet() != s.packet()) {
-            throw new Failed(s.peer() + " heard " + shown(next) + " in place of " + s.packet());
+            throw new Failed(s.peer() + " received " + format(next) + " instead of " + s.packet());
         }
         if (next.args().size() != s.packet().arguments) {
             throw new Failed(
-                    s.packet() + " came with " + next.args().size() + " arguments in place of " + s.packet().arguments);
+                    s.packet() + " came with " + next.args().size() + " arguments instead of " + s.packet().arguments);
         }
         if (s.values().size() > next.args().size()) {
             throw new Failed("the script expects more arguments than " + s.packet() + " has");
@@ -203,18 +204,18 @@
         }
     }
 
-    private void hears(Step.Hears s) throws IOException, Failed {
+    private void expectLines(Step.Hears s) throws IOException, Failed {
         for (Value v : s.values()) {
-            Peer.Heard next = next(s.peer(), "a line", s.withinNs());
+            Peer.Received next = next(s.peer(), "a line", s.withinNs());
             if (next.line() == null) {
-                throw new Failed(s.peer() + " heard " + shown(next) + " in place of a line");
+                throw new Failed(s.peer() + " received " + format(next) + " instead of a line");
             }
             match("the line", v, next.line().getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    /** All lines up to the dot are heard, so that what follows is not taken for this answer's. */
-    private void lists(Step.Lists s) throws IOException, Failed {
+    /** Reads all lines up to the dot, so that later lines are not mistaken for part of this answer. */
+    private void expectListLine(Step.Lists s) throws IOException, Failed {
         StringBuilder wanted = new StringBuilder();
         for (Value v : s.values()) {
             wanted.append(
@@ -228,9 +229,9 @@
         List<String> lines = new ArrayList<>();
         boolean found = false;
         while (true) {
-            Peer.Heard next = next(s.peer(), "a line, or the dot that ends the list", s.withinNs());
+            Peer.Received next = next(s.peer(), "a line, or the dot that ends the list", s.withinNs());
             if (next.line() == null) {
-                throw new Failed(s.peer() + " heard " + shown(next) + " in place of a line");
+                throw new Failed(s.peer() + " received " + format(next) + " instead of a line");
             }
             if (next.line().equals(".")) {
                 break;
@@ -239,35 +240,37 @@
             lines.add(next.line());
         }
         if (!found) {
-            throw new Failed("none of " + lines.size() + " lines is as wanted; the last is '"
+            throw new Failed("none of " + lines.size() + " lines matches; the last is '"
                     + (lines.isEmpty() ? "" : lines.get(lines.size() - 1)) + "'");
         }
     }
 
-    private Peer.Heard next(String name, String what, long withinNs) throws IOException, Failed {
+    private Peer.Received next(String name, String what, long withinNs) throws IOException, Failed {
         Peer p = peer(name);
-        until(withinNs, () -> !p.heard.isEmpty() || p.gone || p.fault != null);
-        if (p.heard.isEmpty()) {
+        until(withinNs, () -> !p.messages.isEmpty() || p.lost || p.fault != null);
+        if (p.messages.isEmpty()) {
             throw new Failed(
                     p.fault != null
                             ? p.fault
-                            : p.gone ? name + " was cut off before " + what : name + " waited in vain for " + what);
+                            : p.lost
+                                    ? name + " was disconnected before " + what
+                                    : name + " timed out waiting for " + what);
         }
-        return p.heard.poll();
+        return p.messages.poll();
     }
 
     private void match(String where, Value wanted, byte[] got) throws Failed {
         if (wanted instanceof Value.Text t && !Arrays.equals(t.bytes(), got)) {
-            throw new Failed(where + " is " + shown(got) + " in place of " + shown(t.bytes()));
+            throw new Failed(where + " is " + format(got) + " instead of " + format(t.bytes()));
         } else if (wanted instanceof Value.Matching m
                 && !m.pattern()
                         .matcher(new String(got, StandardCharsets.ISO_8859_1))
                         .matches()) {
-            throw new Failed(where + " is " + shown(got) + " and does not match /" + m.pattern() + "/");
+            throw new Failed(where + " is " + format(got) + ", which does not match /" + m.pattern() + "/");
         } else if (wanted instanceof Value.Variable v) {
-            byte[] known = names.putIfAbsent(v.name(), got);
+            byte[] known = variables.putIfAbsent(v.name(), got);
             if (known != null && !Arrays.equals(known, got)) {
-                throw new Failed(where + " is " + shown(got) + " in place of " + v.name() + ", " + shown(known));
+                throw new Failed(where + " is " + format(got) + " instead of " + v.name() + ", " + format(known));
             }
         }
     }
@@ -277,13 +280,13 @@
             return t.bytes();
         }
         if (v instanceof Value.Variable name) {
-            byte[] known = names.get(name.name());
+            byte[] known = variables.get(name.name());
             if (known == null) {
-                throw new Failed("nothing is known as " + name.name());
+                throw new Failed("undefined variable " + name.name());
             }
             return known;
         }
-        throw new Failed("only texts and names can be sent");
+        throw new Failed("only strings and variables can be sent");
     }
 
     private byte[] joined(List<Value> values) throws Failed {
@@ -294,22 +297,23 @@
         return out.toByteArray();
     }
 
-    private static String shown(Peer.Heard h) {
+    private static String format(Peer.Received h) {
         if (h.line() != null) {
             return "the line '" + h.line() + "'";
         }
         List<String> args = new ArrayList<>();
-        h.args().forEach(each -> args.add(shown(each)));
+        h.args().forEach(each -> args.add(format(each)));
         return h.packet() + " " + String.join(" ", args);
     }
 
-    private static String shown(byte[] bytes) {
-        String text = new String(bytes, 0, Math.min(bytes.length, SHOWN), StandardCharsets.ISO_8859_1)
+    private static String format(byte[] bytes) {
+        String text = new String(bytes, 0, Math.min(bytes.length, MAX_SHOWN_BYTES), StandardCharsets.ISO_8859_1)
                 .replaceAll("\\p{Cntrl}", ".");
-        return "'" + text + "'" + (bytes.length > SHOWN ? " and " + (bytes.length - SHOWN) + " bytes more" : "");
+        return "'" + text + "'"
+                + (bytes.length > MAX_SHOWN_BYTES ? " and " + (bytes.length - MAX_SHOWN_BYTES) + " bytes more" : "");
     }
 
-    /** Which packets the cases are about: how many cases each, and how many of them passed. */
+    /** Returns for each packet type how many cases cover it and how many of these passed. */
     public static Map<Packet, int[]> byPacket(List<Result> results) {
         Map<Packet, int[]> table = new java.util.EnumMap<>(Packet.class);
         for (Result r : results) {
--- a/src/main/java/beechseam/conformance/Script.java
+++ b/src/main/java/beechseam/conformance/Script.java
@@ -16,12 +16,12 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** The cases of one transcript file. A case with {@code each} stands for one case a packet. */
+/** Parses the cases of a transcript file. A case with {@code each} expands to one case per listed packet. */
 public final class Script {
-    /** The word that stands for the packet of a case with {@code each}. */
+    /** Placeholder for the packet type in a case with {@code each}. */
     static final String PACKET = "PACKET";
 
-    /** What is wrong with a transcript, with its file, line and column. */
+    /** An error in a transcript, with its file, line and column. */
     public static final class Fault extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -30,29 +30,29 @@
         }
     }
 
-    /** What one argument is, or must be. */
+    /** An argument to send, or the expected value of a received argument. */
     sealed interface Value {
-        /** Bytes as they stand. */
+        /** Literal bytes. */
         record Text(byte[] bytes) implements Value {}
 
-        /** In an expectation: any bytes that match as a whole, read as ISO 8859-1. */
+        /** In an expectation: bytes that match the pattern as a whole, decoded as ISO 8859-1. */
         record Matching(Pattern pattern) implements Value {}
 
-        /** In an expectation: anything. */
+        /** In an expectation: any value. */
         record Any() implements Value {}
 
-        /** What the name stands for; in an expectation an unknown one takes what came. */
+        /** The value of a variable; an expectation assigns the received bytes to a variable that has none yet. */
         record Variable(String name) implements Value {}
     }
 
-    /** How the bytes of a packet go out. */
-    enum How {
+    /** How the bytes of a packet are sent: in one write, one byte per write, or every incomplete prefix. */
+    enum SendMode {
         WHOLE,
         BYTE_BY_BYTE,
         CUT_SHORT
     }
 
-    /** A step; {@code line} is where it stands in its file. */
+    /** A step of a case; {@code line} is its line number in the file. */
     sealed interface Step {
         int line();
 
@@ -60,20 +60,19 @@
 
         record Pause(int line, long ns) implements Step {}
 
-        record Send(int line, String peer, How how, Packet packet, List<Value> values) implements Step {}
+        record Send(int line, String peer, SendMode mode, Packet packet, List<Value> values) implements Step {}
 
         record Raw(int line, String peer, List<Value> values) implements Step {}
 
         record Expect(int line, String peer, Packet packet, List<Value> values, long withinNs) implements Step {}
 
-        /** An admin line to send. */
+        /** Sends an admin line. */
         record Line(int line, String peer, List<Value> values) implements Step {}
 
-        /** An admin answer, line by line. */
+        /** Expects the lines of an admin answer in order. */
         record Hears(int line, String peer, List<Value> values, long withinNs) implements Step {}
 
-        /** An admin answer of many lines up to its dot,
-         * one of which is made of these values in their order. */
+        /** Expects a multi-line admin answer that ends with a dot and has a line made of these values in order. */
         record Lists(int line, String peer, List<Value> values, long withinNs) implements Step {}
 
         record Quiet(int line, String peer, long ns) implements Step {}
@@ -83,19 +82,19 @@
         record Closed(int line, String peer, long withinNs) implements Step {}
     }
 
-    /** A case; {@code covers} are the packets that it is about. */
+    /** A test case; {@code covers} are the packet types that it tests. */
     public record Case(String file, String name, List<Packet> covers, List<Step> steps) {
-        /** File and name, which are unique together. */
+        /** Returns the file and the name, which together are unique. */
         public String id() {
             return file + "/" + name;
         }
     }
 
-    /** Files of the suite that comes with the program. */
+    /** Transcript files of the suite that ships with the program. */
     public static final List<String> SUITE =
             List.of("basics", "submit", "workers", "results", "later", "limits", "admin", "bad-input");
 
-    private static final long PATIENCE_NS = 5_000_000_000L;
+    private static final long DEFAULT_TIMEOUT_NS = 5_000_000_000L;
 
     private final String file;
 
@@ -103,13 +102,13 @@
         this.file = file;
     }
 
-    /** All cases of the suite that comes with the program. */
+    /** Parses all cases of the suite that ships with the program. */
     public static List<Case> suite() throws Fault, IOException {
         List<Case> all = new ArrayList<>();
         for (String name : SUITE) {
             try (InputStream in = Script.class.getResourceAsStream(name + ".txt")) {
                 if (in == null) {
-                    throw new IOException("the transcript " + name + " is missing from the program");
+                    throw new IOException("transcript resource " + name + ".txt is missing from the program");
                 }
                 all.addAll(parse(name, new String(in.readAllBytes(), StandardCharsets.UTF_8)));
             }
@@ -117,7 +116,7 @@
         return all;
     }
 
-    /** The cases of a text; {@code file} is its name in messages. */
+    /** Parses the cases of a transcript text; {@code file} is its name in error messages. */
     public static List<Case> parse(String file, String text) throws Fault {
         Script script = new Script(file);
         TranscriptLexer lexer = new TranscriptLexer(CharStreams.fromString(text, file));
@@ -211,11 +210,11 @@
     private Step action(TranscriptParser.ActionContext a, String peer, Packet each) throws Fault {
         int line = a.getStart().getLine();
         if (a instanceof TranscriptParser.SendContext s) {
-            return send(line, peer, How.WHOLE, s.WORD().getSymbol(), s.value(), each);
+            return send(line, peer, SendMode.WHOLE, s.WORD().getSymbol(), s.value(), each);
         } else if (a instanceof TranscriptParser.DribbleContext s) {
-            return send(line, peer, How.BYTE_BY_BYTE, s.WORD().getSymbol(), s.value(), each);
+            return send(line, peer, SendMode.BYTE_BY_BYTE, s.WORD().getSymbol(), s.value(), each);
         } else if (a instanceof TranscriptParser.ChopContext s) {
-            return send(line, peer, How.CUT_SHORT, s.WORD().getSymbol(), s.value(), each);
+            return send(line, peer, SendMode.CUT_SHORT, s.WORD().getSymbol(), s.value(), each);
         } else if (a instanceof TranscriptParser.RawContext s) {
             return new Step.Raw(line, peer, values(s.value()));
         } else if (a instanceof TranscriptParser.ExpectContext s) {
@@ -236,9 +235,9 @@
     }
 
     private Step send(
-            int line, String peer, How how, Token word, List<TranscriptParser.ValueContext> values, Packet each)
+            int line, String peer, SendMode mode, Token word, List<TranscriptParser.ValueContext> values, Packet each)
             throws Fault {
-        return new Step.Send(line, peer, how, packet(word, each), values(values));
+        return new Step.Send(line, peer, mode, packet(word, each), values(values));
     }
 
     private List<Value> values(List<TranscriptParser.ValueContext> all) throws Fault {
@@ -270,7 +269,7 @@
     }
 
     private static long within(TranscriptParser.WithinContext w) {
-        return w == null ? PATIENCE_NS : time(w.TIME().getSymbol());
+        return w == null ? DEFAULT_TIMEOUT_NS : time(w.TIME().getSymbol());
     }
 
     private static long time(Token t) {
@@ -281,8 +280,8 @@
     }
 
     /**
-     * A string's bytes: UTF-8, with the escapes 0, n, r, t, x and two hexadecimal digits, and any other as
-     * itself.
+     * Decodes a string literal to bytes in UTF-8. The escapes are {@code \0}, {@code \n}, {@code \r},
+     * {@code \t} and {@code \x} with two hexadecimal digits; any other escaped character stands for itself.
      */
     private byte[] bytes(Token string) throws Fault {
         String text = string.getText();
--- a/src/test/java/beechseam/conformance/ConformanceTest.java
+++ b/src/test/java/beechseam/conformance/ConformanceTest.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The suite against this project's server, and against peers that get it wrong. */
+/** Runs the suite against this project's server, and against peers that answer incorrectly. */
 class ConformanceTest {
     private static final String ANY = "{\"listen\":\"127.0.0.1:0\",\"functions\":[{\"name\":\"*\"}]}";
 
@@ -42,24 +42,24 @@
             loop.post(() -> server.stop(loop::stop));
             serving.join(20_000);
         }
-        assertFalse(serving.isAlive(), "the server ends when told to");
+        assertFalse(serving.isAlive(), "the server did not stop within 20 s");
     }
 
     @Test
-    void everyPacketIsCoveredAndEveryCaseHasAName() throws Exception {
+    void everyPacketIsCoveredAndCaseNamesAreUnique() throws Exception {
         Set<Packet> covered = EnumSet.noneOf(Packet.class);
         Set<String> names = new HashSet<>();
         for (Script.Case c : Script.suite()) {
             covered.addAll(c.covers());
-            assertTrue(names.add(c.id()), "twice: " + c.id());
+            assertTrue(names.add(c.id()), "duplicate case: " + c.id());
             assertFalse(c.steps().isEmpty(), c.id());
         }
         assertEquals(EnumSet.allOf(Packet.class), covered);
     }
 
-    /** The page names cases as proof: each must be there, and each packet on the page. */
+    /** The protocol page lists every packet with the cases that prove it; each of these cases must exist. */
     @Test
-    void thePageOfTheProtocolNamesCasesThatAreThere() throws Exception {
+    void protocolPageListsEveryPacketAndExistingCases() throws Exception {
         Set<String> ids = new HashSet<>();
         Script.suite().forEach(c -> ids.add(c.id().replaceAll(" \\([A-Z_]+\\)$", "")));
         Set<String> packets = new HashSet<>();
@@ -77,58 +77,58 @@
         assertEquals(Packet.values().length, packets.size());
     }
 
-    /** A suite that cannot fail shows nothing: servers that say nothing, too much, or the wrong thing. */
+    /** The suite must fail servers that send nothing, too much, or a wrong answer. */
     @Test
-    void wrongAnswersAreFound() throws Exception {
+    void incorrectAnswersFailTheCase() throws Exception {
         String echo = "case \"c\" covers ECHO_REQ {" + " a: send ECHO_REQ \"x\"; expect ECHO_RES \"x\" within 300ms }";
-        assertNull(against(echo, Packet.ECHO_RES.response("x").array()));
-        assertEquals("line 1: a waited in vain for ECHO_RES", against(echo, new byte[0]));
+        assertNull(failureAgainst(echo, Packet.ECHO_RES.response("x").array()));
+        assertEquals("line 1: a timed out waiting for ECHO_RES", failureAgainst(echo, new byte[0]));
         assertEquals(
-                "line 1: ECHO_RES, argument 1 is 'y' in place of 'x'",
-                against(echo, Packet.ECHO_RES.response("y").array()));
+                "line 1: ECHO_RES, argument 1 is 'y' instead of 'x'",
+                failureAgainst(echo, Packet.ECHO_RES.response("y").array()));
         assertEquals(
-                "line 1: a heard NO_JOB  in place of ECHO_RES",
-                against(echo, Packet.NO_JOB.response().array()));
+                "line 1: a received NO_JOB  instead of ECHO_RES",
+                failureAgainst(echo, Packet.NO_JOB.response().array()));
         assertEquals(
-                "line 1: what came is no packet of the protocol",
-                against(echo, Packet.ECHO_RES.request("x").array()));
+                "line 1: the received bytes are no packet of the protocol",
+                failureAgainst(echo, Packet.ECHO_RES.request("x").array()));
         assertEquals(
-                "line 1: STATUS_RES came with 2 arguments in place of 5",
-                against(
+                "line 1: STATUS_RES came with 2 arguments instead of 5",
+                failureAgainst(
                         "case \"c\" { a: send GET_STATUS \"x\"; expect STATUS_RES ? ? }",
                         Packet.STATUS_RES.response("x", "0").array()));
         assertEquals(
-                "line 1: a heard ECHO_RES 'x'",
-                against(
+                "line 1: a received ECHO_RES 'x'",
+                failureAgainst(
                         "case \"c\" { a: send ECHO_REQ \"x\"; quiet 300ms }",
                         Packet.ECHO_RES.response("x").array()));
         assertEquals(
-                "line 1: the line is 'no' and does not match /OK.*/",
-                against("case \"c\" { a: line \"version\"; hears /OK.*/ }", "no\n".getBytes()));
+                "line 1: the line is 'no', which does not match /OK.*/",
+                failureAgainst("case \"c\" { a: line \"version\"; hears /OK.*/ }", "no\n".getBytes()));
         String list = "case \"c\" { a: line \"status\"; lists \"f\\t\" /[0-9]/ ? within 300ms }";
-        assertNull(against(list, "e\t1\t0\nf\t2\t0\n.\n".getBytes()));
+        assertNull(failureAgainst(list, "e\t1\t0\nf\t2\t0\n.\n".getBytes()));
         assertEquals(
-                "line 1: none of 2 lines is as wanted; the last is 'f\t\t0'",
-                against(list, "e\t1\t0\nf\t\t0\n.\n".getBytes()));
+                "line 1: none of 2 lines matches; the last is 'f\t\t0'",
+                failureAgainst(list, "e\t1\t0\nf\t\t0\n.\n".getBytes()));
         assertEquals(
-                "line 1: a waited in vain for a line, or the dot that ends the list",
-                against(list, "f\t2\t0\n".getBytes()));
+                "line 1: a timed out waiting for a line, or the dot that ends the list",
+                failureAgainst(list, "f\t2\t0\n".getBytes()));
         assertEquals(
-                "line 1: a was not cut off in time",
-                against("case \"c\" { a: raw \"x\"; closed within 50ms }", new byte[0]));
-        assertEquals("line 1: nothing is known as h", against("case \"c\" { a: send WORK_FAIL h }", new byte[0]));
+                "line 1: a was not disconnected in time",
+                failureAgainst("case \"c\" { a: raw \"x\"; closed within 50ms }", new byte[0]));
+        assertEquals("line 1: undefined variable h", failureAgainst("case \"c\" { a: send WORK_FAIL h }", new byte[0]));
         String twice = "case \"c\" { a: send ECHO_REQ \"x\"; expect ECHO_RES v; expect ECHO_RES v }";
         byte[] two = (new String(Packet.ECHO_RES.response("x").array(), StandardCharsets.ISO_8859_1)
                         + new String(Packet.ECHO_RES.response("z").array(), StandardCharsets.ISO_8859_1))
                 .getBytes(StandardCharsets.ISO_8859_1);
-        assertEquals("line 1: ECHO_RES, argument 1 is 'z' in place of v, 'x'", against(twice, two));
+        assertEquals("line 1: ECHO_RES, argument 1 is 'z' instead of v, 'x'", failureAgainst(twice, two));
     }
 
-    /** Plays a case against a peer that answers whatever comes with these bytes; why it failed, or null. */
-    private static String against(String script, byte[] answer) throws Exception {
+    /** Runs a case against a peer that answers any input with these bytes; returns the failure reason, or null. */
+    private static String failureAgainst(String script, byte[] answer) throws Exception {
         List<Loopback.Peer> peers = new java.util.concurrent.CopyOnWriteArrayList<>();
         Loopback net = new Loopback();
-        boolean[] over = {false};
+        boolean[] finished = {false};
         var address = net.listen(peers);
         Thread serving = new Thread(() -> net.until("the end", () -> {
             for (Loopback.Peer p : peers) {
@@ -136,16 +136,16 @@
                     p.write(java.nio.ByteBuffer.wrap(answer.clone()));
                 }
             }
-            synchronized (over) {
-                return over[0];
+            synchronized (finished) {
+                return finished[0];
             }
         }));
         serving.start();
         try (Player player = new Player(address, "t")) {
             return player.play(Script.parse("f", script).get(0)).why();
         } finally {
-            synchronized (over) {
-                over[0] = true;
+            synchronized (finished) {
+                finished[0] = true;
             }
             serving.join();
             net.close();
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aFaultyTranscriptIsToldWithItsPlace() {
+    void transcriptErrorsNameLineAndColumn() {
         for (String[] each : new String[][] {
             {"case \"a\" {\n a: sing }", "f:2:5: "}, {"case \"a\" { a: send NO_SUCH }", "f:1:20: NO_SUCH is no packet"},
             {"case \"a\" { a: raw \"\\xzz\" }", "f:1:19: \\x needs two"}, {"case \"a\" { a: hears /(/ }", "f:1:21: "},
