--- a/src/main/java/beechseam/load/Client.java
+++ b/src/main/java/beechseam/load/Client.java
@@ -11,25 +11,27 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A stand-in client with a fixed number of jobs outstanding (closed loop): each answer brings the next
- * submission. The time of a job runs from its submission to its answer.
+ * A simulated client with a fixed number of outstanding jobs (closed loop): it submits the next job on each
+ * answer. The duration of a job runs from its submission to its answer.
  */
 final class Client extends Speaker {
     private final Packet kind;
     private final String function;
     private final byte[] workload;
     private final Histogram times;
-    /** When the jobs were submitted that have no handle yet, and those that have one. */
-    private final ArrayDeque<Long> unnamed = new ArrayDeque<>();
+    /** Submission times of jobs whose handle is not known yet, in order of submission. */
+    private final ArrayDeque<Long> submittedWithoutHandle = new ArrayDeque<>();
+
+    /** Submission times of open jobs by handle. */
+    private final Map<String, Long> submittedByHandle = new HashMap<>();
 
-    private final Map<String, Long> named = new HashMap<>();
     private long toSubmit;
     long created;
     long served;
     long failed;
     boolean recording;
 
-    /** @param toSubmit jobs in all; submissions stop then */
+    /** @param toSubmit total number of jobs, after which the client submits no more */
     Client(
             EventLoop loop,
             InetSocketAddress to,
@@ -51,8 +53,8 @@
     void submit(int jobs) {
         for (int i = 0; i < jobs && toSubmit > 0; i++) {
             toSubmit--;
-            unnamed.add(System.nanoTime());
-            say(kind, function, "", workload);
+            submittedWithoutHandle.add(System.nanoTime());
+            sendPacket(kind, function, "", workload);
         }
     }
 
@@ -65,32 +67,32 @@
         switch (p) {
             case JOB_CREATED -> {
                 created++;
-                long at = unnamed.poll();
+                long at = submittedWithoutHandle.poll();
                 if (kind.name().endsWith("_BG")) {
                     submit(1);
                 } else {
-                    named.put(args.text(0), at);
+                    submittedByHandle.put(args.text(0), at);
                 }
             }
             case WORK_COMPLETE -> {
                 served++;
-                ended(args.text(0));
+                recordEnd(args.text(0));
             }
             case WORK_FAIL -> {
                 failed++;
-                ended(args.text(0));
+                recordEnd(args.text(0));
             }
             case ERROR -> {
                 fault = error(args);
-                unnamed.poll();
+                submittedWithoutHandle.poll();
                 submit(1);
             }
             default -> {}
         }
     }
 
-    private void ended(String handle) {
-        Long at = named.remove(handle);
+    private void recordEnd(String handle) {
+        Long at = submittedByHandle.remove(handle);
         if (at != null && recording) {
             times.recordValue(Math.min(times.getHighestTrackableValue(), System.nanoTime() - at));
         }
--- a/src/main/java/beechseam/load/GearmanLoad.java
+++ b/src/main/java/beechseam/load/GearmanLoad.java
@@ -14,12 +14,12 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
-/** Load on a job server, in scenarios, each with a server process of its own. */
+/** Load scenarios for the Gearman job server; each scenario starts its own server process. */
 public final class GearmanLoad {
-    /** One line of results: what was played, and figures by name. */
+    /** One line of results: the scenario that ran and its figures by name. */
     public record Row(String scenario, Map<String, Object> figures) {}
 
-    /** What can be played. */
+    /** The scenarios that can run. */
     public enum Scenario {
         WORKERS,
         FAIR,
@@ -30,13 +30,13 @@
         FAULTS
     }
 
-    private static final long LONGEST_NS = 120_000_000_000L;
+    private static final long MAX_RECORDED_NS = 120_000_000_000L;
     private static final String ANY = "[{\"name\":\"*\",\"effect\":\"safe\",\"deadline_ms\":3600000,\"aim_ms\":1000}]";
-    private static final int LOOPS = 3;
+    private static final int LOOP_COUNT = 3;
     private static final long SEED = 4730;
-    private static final long WARM_MS = 4000;
-    /** Queues up to this are empty within a fraction of a second. */
-    private static final int SOON_EMPTY = 10_000;
+    private static final long WARM_UP_MS = 4000;
+    /** Largest queue, in jobs, that workers empty within a fraction of a second, too fast to measure. */
+    private static final int MAX_UNMEASURABLE_QUEUE = 10_000;
 
     private final double seconds;
     private final List<String> jvm;
@@ -44,9 +44,9 @@
     private final List<Row> rows = new ArrayList<>();
 
     /**
-     * @param seconds  that a measurement lasts, after a third of that to warm up
-     * @param jvm      options of the server's runtime
-     * @param progress is told what goes on
+     * @param seconds  duration of a measurement, which follows a warm-up of a third of that
+     * @param jvm      JVM options of the server process
+     * @param progress receives a line of text for each result
      */
     public GearmanLoad(double seconds, List<String> jvm, Consumer<String> progress) {
         this.seconds = seconds;
@@ -54,12 +54,12 @@
         this.progress = progress;
     }
 
-    /** An event loop on a thread of its own; connections are made on it. */
-    private static final class Lane implements AutoCloseable {
+    /** An event loop on its own thread. Connections are opened and used on this thread only. */
+    private static final class LoopThread implements AutoCloseable {
         final EventLoop loop;
         private final Thread thread;
 
-        Lane(String name) throws IOException {
+        LoopThread(String name) throws IOException {
             loop = new EventLoop();
             thread = new Thread(
                     () -> {
@@ -90,28 +90,28 @@
         }
     }
 
-    /** Clients and workers of a run. */
-    private final class Crowd implements AutoCloseable {
+    /** The clients and workers of one run, spread over several event loops. */
+    private final class LoadGroup implements AutoCloseable {
         final ServerProcess server;
-        final List<Lane> lanes = new ArrayList<>();
+        final List<LoopThread> loops = new ArrayList<>();
         final List<Client> clients = new ArrayList<>();
         final List<Worker> workers = new ArrayList<>();
         private final List<Speaker> all = new ArrayList<>();
-        final Histogram times = new Histogram(LONGEST_NS, 3);
+        final Histogram times = new Histogram(MAX_RECORDED_NS, 3);
 
-        Crowd(ServerProcess server) throws IOException {
+        LoadGroup(ServerProcess server) throws IOException {
             this.server = server;
-            for (int i = 0; i < LOOPS; i++) {
-                lanes.add(new Lane("load-" + i));
+            for (int i = 0; i < LOOP_COUNT; i++) {
+                loops.add(new LoopThread("load-" + i));
             }
         }
 
-        /** Clients have a loop to themselves, so that times are told by one clock and one histogram. */
+        /** Opens clients. All share the first loop, so that one clock and one histogram measure their jobs. */
         void clients(int count, Packet kind, String function, int bytes, long toSubmit)
                 throws IOException, InterruptedException {
-            lanes.get(0).call(() -> {
+            loops.get(0).call(() -> {
                 for (int i = 0; i < count; i++) {
-                    Client c = new Client(lanes.get(0).loop, server.address, kind, function, bytes, toSubmit, times);
+                    Client c = new Client(loops.get(0).loop, server.address, kind, function, bytes, toSubmit, times);
                     clients.add(c);
                     all.add(c);
                 }
@@ -121,40 +121,40 @@
 
         void workers(int count, long runNs, String... functions) throws IOException, InterruptedException {
             for (int i = 0; i < count; i++) {
-                Lane lane = lanes.get(1 + i % (LOOPS - 1));
-                Worker w = lane.call(() -> new Worker(lane.loop, server.address, runNs, functions));
+                LoopThread loopThread = loops.get(1 + i % (LOOP_COUNT - 1));
+                Worker w = loopThread.call(() -> new Worker(loopThread.loop, server.address, runNs, functions));
                 workers.add(w);
                 all.add(w);
             }
         }
 
         void submit(int outstanding) throws IOException, InterruptedException {
-            lanes.get(0).call(() -> {
+            loops.get(0).call(() -> {
                 clients.forEach(c -> c.submit(outstanding));
                 return null;
             });
         }
 
-        /** Runs for a while after warming up; gives jobs a second, CPU a job and times. */
+        /** Measures after a warm-up and returns the throughput, the CPU time per job and the job durations. */
         Map<String, Object> measure() throws IOException, InterruptedException {
             Thread.sleep((long) (seconds * 1000 / 3));
             long[] before = served();
             long cpu = server.cpuNs();
-            lanes.get(0).call(() -> {
+            loops.get(0).call(() -> {
                 clients.forEach(c -> c.recording = true);
                 return null;
             });
             long start = System.nanoTime();
             Thread.sleep((long) (seconds * 1000));
             long[] after = served();
-            long took = System.nanoTime() - start;
+            long elapsedNs = System.nanoTime() - start;
             long cpuUsed = server.cpuNs() - cpu;
             Map<String, Object> figures = new LinkedHashMap<>();
-            lanes.get(0).call(() -> {
+            loops.get(0).call(() -> {
                 long jobs = after[0] - before[0];
                 long done = after[1] - before[1];
-                figures.put("jobs_per_s", Math.round(jobs * 1e9 / took));
-                figures.put("runs_per_s", Math.round(done * 1e9 / took));
+                figures.put("jobs_per_s", Math.round(jobs * 1e9 / elapsedNs));
+                figures.put("runs_per_s", Math.round(done * 1e9 / elapsedNs));
                 figures.put("cpu_us_per_run", done == 0 ? 0 : cpuUsed / 100 / done / 10.0);
                 figures.put("median_ms", times.getValueAtPercentile(50) / 10_000 / 100.0);
                 figures.put("p99_ms", times.getValueAtPercentile(99) / 10_000 / 100.0);
@@ -166,49 +166,49 @@
 
         private long[] served() throws IOException, InterruptedException {
             long[] sums = new long[2];
-            lanes.get(0).call(() -> {
+            loops.get(0).call(() -> {
                 clients.forEach(c -> sums[0] += c.served);
                 return null;
             });
-            for (Lane lane : lanes.subList(1, LOOPS)) {
-                lane.call(() -> {
-                    workers.stream().filter(w -> w.loop() == lane.loop).forEach(w -> sums[1] += w.done);
+            for (LoopThread loopThread : loops.subList(1, LOOP_COUNT)) {
+                loopThread.call(() -> {
+                    workers.stream().filter(w -> w.loop() == loopThread.loop).forEach(w -> sums[1] += w.done);
                     return null;
                 });
             }
             return sums;
         }
 
-        void check() throws IOException {
+        void checkForFaults() throws IOException {
             for (Speaker each : clients) {
                 if (each.fault != null) {
-                    throw new IOException("a client: " + each.fault);
+                    throw new IOException("load client failed: " + each.fault);
                 }
             }
             for (Speaker each : workers) {
                 if (each.fault != null) {
-                    throw new IOException("a worker: " + each.fault);
+                    throw new IOException("load worker failed: " + each.fault);
                 }
             }
         }
 
         @Override
         public void close() throws IOException {
-            for (Lane lane : lanes) {
+            for (LoopThread loopThread : loops) {
                 try {
-                    lane.call(() -> {
-                        all.stream().filter(s -> s.loop() == lane.loop).forEach(Speaker::close);
+                    loopThread.call(() -> {
+                        all.stream().filter(s -> s.loop() == loopThread.loop).forEach(Speaker::close);
                         return null;
                     });
                 } catch (InterruptedException e) {
                     throw Interrupts.toIOException(e);
                 }
-                lane.close();
+                loopThread.close();
             }
         }
     }
 
-    /** Plays a scenario and gives its rows. */
+    /** Runs a scenario with each of the sizes and returns its result rows. */
     public List<Row> play(Scenario scenario, List<Integer> sizes) throws IOException, InterruptedException {
         rows.clear();
         switch (scenario) {
@@ -231,43 +231,43 @@
         progress.accept(s.toString());
     }
 
-    /** One server for all, warm, since a fresh runtime costs the more the fewer jobs a size does. */
+    /** Uses one warmed-up server for all sizes: a cold JVM distorts a size more the fewer jobs it runs. */
     private void workers(List<Integer> sizes) throws IOException, InterruptedException {
         try (ServerProcess server = new ServerProcess(jvm, ANY)) {
-            warm(server);
+            warmUp(server);
             for (int count : sizes) {
-                try (Crowd crowd = new Crowd(server)) {
-                    crowd.workers(count, 0, "f");
-                    crowd.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
-                    crowd.submit(64);
-                    Map<String, Object> figures = crowd.measure();
-                    crowd.check();
+                try (LoadGroup group = new LoadGroup(server)) {
+                    group.workers(count, 0, "f");
+                    group.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
+                    group.submit(64);
+                    Map<String, Object> figures = group.measure();
+                    group.checkForFaults();
                     add("workers " + count + ", 64 clients x 64", figures);
                 }
             }
         }
     }
 
-    /** The runtime compiles what is used: a load like the one to be measured, until that is done. */
-    private void warm(ServerProcess server) throws IOException, InterruptedException {
-        try (Crowd crowd = new Crowd(server)) {
-            crowd.workers(64, 0, "warm");
-            crowd.clients(64, Packet.SUBMIT_JOB, "warm", 32, Long.MAX_VALUE);
-            crowd.submit(16);
-            Thread.sleep(WARM_MS);
-            crowd.check();
+    /** Runs a load like the measured one, long enough for the JVM to compile the code that it uses. */
+    private void warmUp(ServerProcess server) throws IOException, InterruptedException {
+        try (LoadGroup group = new LoadGroup(server)) {
+            group.workers(64, 0, "warm");
+            group.clients(64, Packet.SUBMIT_JOB, "warm", 32, Long.MAX_VALUE);
+            group.submit(16);
+            Thread.sleep(WARM_UP_MS);
+            group.checkForFaults();
         }
     }
 
     private void fair() throws IOException, InterruptedException {
         try (ServerProcess server = new ServerProcess(jvm, ANY);
-                Crowd crowd = new Crowd(server)) {
-            warm(server);
-            crowd.workers(64, 0, "f");
-            crowd.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
-            crowd.submit(64);
-            Map<String, Object> figures = crowd.measure();
-            crowd.check();
+                LoadGroup group = new LoadGroup(server)) {
+            warmUp(server);
+            group.workers(64, 0, "f");
+            group.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
+            group.submit(64);
+            Map<String, Object> figures = group.measure();
+            group.checkForFaults();
             figures.put(
                     "p99_to_median",
                     Math.round((double) figures.get("p99_ms") / (double) figures.get("median_ms") * 100) / 100.0);
@@ -275,91 +275,89 @@
         }
     }
 
-    /** Workers of a function that nobody asks for beside 64 that work. */
+    /** Measures 64 busy workers beside idle workers of a function that no client submits jobs to. */
     private void idle(List<Integer> sizes) throws IOException, InterruptedException {
         try (ServerProcess server = new ServerProcess(jvm, ANY)) {
-            warm(server);
+            warmUp(server);
             for (int count : sizes) {
-                try (Crowd crowd = new Crowd(server)) {
-                    crowd.workers(count, 0, "nobody-asks");
-                    crowd.workers(64, 0, "f");
-                    crowd.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
-                    crowd.submit(64);
-                    Map<String, Object> figures = crowd.measure();
-                    crowd.check();
+                try (LoadGroup group = new LoadGroup(server)) {
+                    group.workers(count, 0, "nobody-asks");
+                    group.workers(64, 0, "f");
+                    group.clients(64, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
+                    group.submit(64);
+                    Map<String, Object> figures = group.measure();
+                    group.checkForFaults();
                     add("64 workers, " + count + " of another function", figures);
                 }
             }
         }
     }
 
-    /**
-     * Fills the queue with background jobs that nobody can do yet, or that few workers do beside the rest.
-     */
-    private static void fill(Crowd crowd, int queued, String function) throws IOException, InterruptedException {
+    /** Queues background jobs, which no worker or only a few can run, and waits until the server has created all. */
+    private static void fill(LoadGroup group, int queued, String function) throws IOException, InterruptedException {
         int clients = 8;
-        crowd.clients(clients, Packet.SUBMIT_JOB_BG, function, 32, queued / clients);
-        List<Client> filling = List.copyOf(crowd.clients);
-        crowd.submit(256);
+        group.clients(clients, Packet.SUBMIT_JOB_BG, function, 32, queued / clients);
+        List<Client> submitters = List.copyOf(group.clients);
+        group.submit(256);
         long target = (long) queued / clients * clients;
         long created = 0;
         while (created < target) {
             Thread.sleep(20);
             long[] sum = {0};
-            crowd.lanes.get(0).call(() -> {
-                filling.forEach(c -> sum[0] += c.created);
+            group.loops.get(0).call(() -> {
+                submitters.forEach(c -> sum[0] += c.created);
                 return null;
             });
             created = sum[0];
-            crowd.check();
+            group.checkForFaults();
         }
-        crowd.clients.clear();
+        group.clients.clear();
     }
 
     private void queued(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
             try (ServerProcess server = new ServerProcess(jvm, ANY);
-                    Crowd crowd = new Crowd(server)) {
-                warm(server);
-                fill(crowd, queued, "f");
-                crowd.workers(8, 0, "f");
-                crowd.clients(8, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
-                crowd.submit(1);
-                Map<String, Object> figures = crowd.measure();
-                crowd.check();
+                    LoadGroup group = new LoadGroup(server)) {
+                warmUp(server);
+                fill(group, queued, "f");
+                group.workers(8, 0, "f");
+                group.clients(8, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
+                group.submit(1);
+                Map<String, Object> figures = group.measure();
+                group.checkForFaults();
                 figures.put("still_queued", server.figure("alive"));
                 add(queued + " queued, 8 clients x 1 beside", figures);
             }
-            if (queued <= SOON_EMPTY) { // taken down before it can be measured: clients keep as many waiting
+            if (queued <= MAX_UNMEASURABLE_QUEUE) { // clients keep the queue at this length instead
                 try (ServerProcess server = new ServerProcess(jvm, ANY);
-                        Crowd crowd = new Crowd(server)) {
-                    warm(server);
-                    crowd.workers(8, 0, "f");
-                    crowd.clients(8, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
-                    crowd.submit(queued / 8);
-                    Map<String, Object> figures = crowd.measure();
-                    crowd.check();
+                        LoadGroup group = new LoadGroup(server)) {
+                    warmUp(server);
+                    group.workers(8, 0, "f");
+                    group.clients(8, Packet.SUBMIT_JOB, "f", 32, Long.MAX_VALUE);
+                    group.submit(queued / 8);
+                    Map<String, Object> figures = group.measure();
+                    group.checkForFaults();
                     add(queued + " kept waiting, 8 workers", figures);
                 }
                 continue;
             }
             try (ServerProcess server = new ServerProcess(jvm, ANY);
-                    Crowd crowd = new Crowd(server)) {
-                warm(server);
-                fill(crowd, queued, "f");
+                    LoadGroup group = new LoadGroup(server)) {
+                warmUp(server);
+                fill(group, queued, "f");
                 long before = server.figure("served");
                 long cpu = server.cpuNs();
                 long start = System.nanoTime();
-                crowd.workers(8, 0, "f");
+                group.workers(8, 0, "f");
                 long done;
-                long took;
+                long elapsedNs;
                 do {
                     Thread.sleep(50);
                     done = server.figure("served") - before;
-                    took = System.nanoTime() - start;
-                } while (took < seconds * 1e9 && server.figure("alive") > queued / 10);
+                    elapsedNs = System.nanoTime() - start;
+                } while (elapsedNs < seconds * 1e9 && server.figure("alive") > queued / 10);
                 Map<String, Object> figures = new LinkedHashMap<>();
-                figures.put("runs_per_s", Math.round(done * 1e9 / took));
+                figures.put("runs_per_s", Math.round(done * 1e9 / elapsedNs));
                 figures.put("cpu_us_per_run", done == 0 ? 0 : (server.cpuNs() - cpu) / 100 / done / 10.0);
                 add(queued + " queued, taken down by 8", figures);
             }
@@ -369,11 +367,11 @@
     private void memory(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
             try (ServerProcess server = new ServerProcess(jvm, ANY);
-                    Crowd crowd = new Crowd(server)) {
-                fill(crowd, 8, "f"); // classes are loaded, tables made
-                long before = server.heap();
-                fill(crowd, queued, "g");
-                long after = server.heap();
+                    LoadGroup group = new LoadGroup(server)) {
+                fill(group, 8, "f"); // loads classes and allocates tables before the baseline is taken
+                long before = server.usedHeapBytes();
+                fill(group, queued, "g");
+                long after = server.usedHeapBytes();
                 add(queued + " queued of 32 bytes", Map.of("bytes_per_job", (after - before) / queued));
             }
         }
@@ -391,8 +389,8 @@
     private void stop(List<Integer> sizes) throws IOException, InterruptedException {
         for (int queued : sizes) {
             try (ServerProcess server = new ServerProcess(jvm, ANY);
-                    Crowd crowd = new Crowd(server)) {
-                fill(crowd, queued, "f");
+                    LoadGroup group = new LoadGroup(server)) {
+                fill(group, queued, "f");
                 add("SIGTERM with " + queued + " queued", Map.of("ms_to_end", server.stop() / 1_000_000));
             }
         }
--- a/src/main/java/beechseam/load/Interrupts.java
+++ b/src/main/java/beechseam/load/Interrupts.java
@@ -2,11 +2,11 @@
 
 import java.io.InterruptedIOException;
 
-/** Interrupts of a thread that closes a resource, where {@code close} may throw no {@link InterruptedException}. */
+/** Converts an interrupt for {@code close} methods that cannot throw {@link InterruptedException}. */
 final class Interrupts {
     private Interrupts() {}
 
-    /** Sets the thread's interrupt again, so that its callers see it, and gives the exception to throw. */
+    /** Sets the thread's interrupt flag again, so that callers see it, and returns the exception to throw. */
     static InterruptedIOException toIOException(InterruptedException e) {
         Thread.currentThread().interrupt();
         InterruptedIOException converted = new InterruptedIOException("interrupted while closing");
--- a/src/main/java/beechseam/load/LibraryLoad.java
+++ b/src/main/java/beechseam/load/LibraryLoad.java
@@ -24,25 +24,25 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** The library under load, with stand-in workers in the same process, and the accounts of every dispatch. */
+/** Load on the library with simulated workers in the same process; every dispatch is accounted for. */
 public final class LibraryLoad {
     private static final Duration DEADLINE = Duration.ofSeconds(5);
-    private static final int OUTSTANDING = 512;
-    private static final long SLOWEST_NS = 4_000_000L;
+    private static final int MAX_OUTSTANDING = 512;
+    private static final long MAX_RUN_TIME_NS = 4_000_000L;
 
     private final Consumer<String> progress;
 
-    /** @param progress is told how far it is */
+    /** @param progress receives a line of text on the number of dispatches so far */
     public LibraryLoad(Consumer<String> progress) {
         this.progress = progress;
     }
 
     /**
-     * Dispatches from several threads through stand-in workers that serve, fail, are full, are slow, or never
-     * answer.
+     * Dispatches from several threads to simulated workers that serve, fail, refuse as full, answer slowly or
+     * never answer.
      *
-     * @return figures by name; "wrong" counts dispatches with no outcome or with another's value, unsafe jobs
-     *     that ran twice, and what the balancer's own counters have otherwise
+     * @return figures by name; "wrong" counts dispatches without an outcome or with the value of another job,
+     *     non-idempotent jobs that ran twice, and a mismatch with the balancer's own counters
      */
     public Map<String, Object> accounts(int dispatches, int threads, int workers, long seed) throws Exception {
         AtomicIntegerArray runs = new AtomicIntegerArray(dispatches);
@@ -50,7 +50,7 @@
         LongAdder refused = new LongAdder();
         LongAdder failed = new LongAdder();
         LongAdder wrong = new LongAdder();
-        ScheduledExecutorService clock = Executors.newScheduledThreadPool(2, task -> {
+        ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2, task -> {
             Thread t = new Thread(task, "load-workers");
             t.setDaemon(true);
             return t;
@@ -59,7 +59,7 @@
         for (int i = 0; i < workers; i++) {
             targets.add(Target.of("w" + i).withSlots(32));
         }
-        Sender<Integer, Integer> sender = attempt -> work(attempt, runs, clock, seed);
+        Sender<Integer, Integer> sender = attempt -> work(attempt, runs, scheduler, seed);
         long start = System.nanoTime();
         Map<String, Object> figures = new LinkedHashMap<>();
         try (Balancer<Integer, Integer> balancer = Balancer.builder(sender)
@@ -73,10 +73,10 @@
                 int first = t;
                 Thread thread = new Thread(
                         () -> {
-                            Semaphore room = new Semaphore(OUTSTANDING / threads);
+                            Semaphore permits = new Semaphore(MAX_OUTSTANDING / threads);
                             for (int i = first; i < dispatches; i += threads) {
                                 int job = i;
-                                room.acquireUninterruptibly();
+                                permits.acquireUninterruptibly();
                                 balancer.dispatch(job % 2 == 0 ? "safe" : "once", job)
                                         .whenComplete((o, e) -> {
                                             if (o instanceof Outcome.Served<Integer> s && s.value() == job) {
@@ -88,13 +88,13 @@
                                             } else {
                                                 wrong.increment();
                                             }
-                                            room.release();
+                                            permits.release();
                                         });
                                 if (job > 0 && job % 200_000 == 0) {
                                     progress.accept(job + " dispatched");
                                 }
                             }
-                            room.acquireUninterruptibly(OUTSTANDING / threads);
+                            permits.acquireUninterruptibly(MAX_OUTSTANDING / threads);
                         },
                         "load-" + t);
                 thread.start();
@@ -103,34 +103,35 @@
             for (Thread thread : all) {
                 thread.join();
             }
-            long took = System.nanoTime() - start;
+            long elapsedNs = System.nanoTime() - start;
             String counters = balancer.figures().get(20, TimeUnit.SECONDS);
-            int twice = 0;
+            int ranTwice = 0;
             for (int i = 1; i < dispatches; i += 2) {
-                twice += runs.get(i) > 1 ? 1 : 0;
+                ranTwice += runs.get(i) > 1 ? 1 : 0;
             }
             long ended = served.sum() + refused.sum() + failed.sum();
-            boolean agree = ServerProcess.figure(counters, "taken") == dispatches
+            boolean countersAgree = ServerProcess.figure(counters, "taken") == dispatches
                     && ServerProcess.figure(counters, "served") == served.sum()
                     && ServerProcess.figure(counters, "faults") == 0;
             figures.put("dispatches", dispatches);
             figures.put("served", served.sum());
             figures.put("refused", refused.sum());
             figures.put("failed", failed.sum());
-            figures.put("ran_twice_that_may_not", twice);
-            figures.put("wrong", wrong.sum() + twice + (ended == dispatches ? 0 : 1) + (agree ? 0 : 1));
-            figures.put("per_s", Math.round(dispatches * 1e9 / took));
+            figures.put("ran_twice_that_may_not", ranTwice);
+            figures.put("wrong", wrong.sum() + ranTwice + (ended == dispatches ? 0 : 1) + (countersAgree ? 0 : 1));
+            figures.put("per_s", Math.round(dispatches * 1e9 / elapsedNs));
         } finally {
-            clock.shutdownNow();
+            scheduler.shutdownNow();
         }
         return figures;
     }
 
     /**
-     * A stand-in worker; what it does with a job is drawn from the job's number, so each run draws the same.
+     * A simulated worker. Its behaviour is drawn from the seed, the job's number and the attempt's number, so that
+     * each run with the same seed draws the same.
      */
     private static CompletionStage<Integer> work(
-            Sender.Attempt<Integer> attempt, AtomicIntegerArray runs, ScheduledExecutorService clock, long seed)
+            Sender.Attempt<Integer> attempt, AtomicIntegerArray runs, ScheduledExecutorService scheduler, long seed)
             throws Exception {
         int job = attempt.job();
         SplittableRandom random = new SplittableRandom(seed ^ job * 0x9E3779B97F4A7C15L + attempt.number());
@@ -147,14 +148,14 @@
         if (pick < 9_000) {
             answer.complete(job);
         } else if (pick < 9_999) {
-            clock.schedule(() -> answer.complete(job), random.nextLong(SLOWEST_NS), TimeUnit.NANOSECONDS);
-        } // else it never answers
+            scheduler.schedule(() -> answer.complete(job), random.nextLong(MAX_RUN_TIME_NS), TimeUnit.NANOSECONDS);
+        } // otherwise the worker never answers
         return answer;
     }
 
     /**
-     * What a dispatch adds: one at a time, to a sender that answers at once, so that all the time is the
-     * library's own: two hand-overs to its thread and one to the executor.
+     * Measures the time that the library adds to a dispatch. Dispatches run one at a time to a sender that answers
+     * at once, so that all of the time is the library's own: two hand-overs to its thread and one to the executor.
      */
     public Map<String, Object> overhead(int dispatches) throws Exception {
         Histogram times = new ConcurrentHistogram(10_000_000_000L, 3);
@@ -166,7 +167,7 @@
             for (int i = 0; i < dispatches * 2; i++) {
                 long start = System.nanoTime();
                 balancer.dispatch("once", i).get();
-                if (i >= dispatches) { // the first half warms up
+                if (i >= dispatches) { // the first half is the warm-up
                     times.recordValue(System.nanoTime() - start);
                 }
             }
--- a/src/main/java/beechseam/load/ListIntake.java
+++ b/src/main/java/beechseam/load/ListIntake.java
@@ -20,8 +20,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what one whole list of discovery costs a node, by the number of servers: reading the text, and
- * taking it into the route table and the decision module.
+ * Measures the time that a node needs for one complete list from discovery, by the number of servers: parsing
+ * the text, and applying the entries to the route table and the dispatcher.
  */
 public final class ListIntake {
     private static final int WARM_UP_LISTS = 30;
@@ -29,20 +29,20 @@
             + "\"DeadlineNs\":1000000000,\"Effect\":\"read_like\"}]}";
 
     /**
-     * The figures of one size.
+     * The results for one list size.
      *
-     * @param servers entries of the list
-     * @param bytes length of its text
-     * @param readUs microseconds to read the text, median
-     * @param takeUs microseconds to take the entries in, median
+     * @param servers number of entries in the list
+     * @param bytes length of the list as JSON text
+     * @param readUs median time to parse the text, in microseconds
+     * @param takeUs median time to apply the entries, in microseconds
      */
     public record Figures(int servers, int bytes, double readUs, double takeUs) {
-        /** Microseconds for each server, in all. */
+        /** Total time per server, in microseconds. */
         public double usPerServer() {
             return (readUs + takeUs) / servers;
         }
 
-        /** One row of a table. */
+        /** Formats the figures as one row of the printed table. */
         @Override
         public String toString() {
             return String.format(
@@ -52,7 +52,7 @@
 
     private ListIntake() {}
 
-    /** Takes in {@code lists} whole lists of so many servers, after some that are not counted. */
+    /** Measures {@code lists} complete lists of {@code servers} entries each, after uncounted warm-up lists. */
     public static Figures measure(int servers, int lists) throws IOException {
         Engine engine = engine();
         byte[] text = list(servers);
@@ -108,21 +108,21 @@
         return workers;
     }
 
-    /** No request is taken, so nothing is sent. */
+    /** An egress that is never asked to send, as no request is accepted. */
     private static final class NoEgress implements Egress {
         @Override
         public void send(Attempt attempt) {
-            throw new IllegalStateException("nothing to send");
+            throw new IllegalStateException("unexpected attempt: the list measurement accepts no requests");
         }
 
         @Override
         public void cancel(Attempt attempt) {
-            throw new IllegalStateException("nothing to cancel");
+            throw new IllegalStateException("unexpected cancellation: the list measurement accepts no requests");
         }
 
         @Override
         public void healthCheck(long target) {
-            // The module may probe as soon as it knows a server; nobody answers.
+            // The dispatcher may check the health of a server as soon as it is listed; no answer is simulated.
         }
     }
 }
--- a/src/main/java/beechseam/load/ServerProcess.java
+++ b/src/main/java/beechseam/load/ServerProcess.java
@@ -15,24 +15,25 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The server under load: this program in a process of its own, on a free port, by a file made for it. */
+/** The server under load: a separate process of this program on a free port, with a temporary configuration file. */
 final class ServerProcess implements AutoCloseable {
-    private static final long UP_NS = 20_000_000_000L;
+    private static final long START_TIMEOUT_NS = 20_000_000_000L;
     final InetSocketAddress address;
     private final Process process;
-    private final Path file;
-    private final Path said;
+    private final Path configFile;
+    private final Path logFile;
 
-    /** @param jvm options of the runtime, such as a heap's size */
+    /** @param jvm JVM options, such as the heap size */
     ServerProcess(List<String> jvm, String functions) throws IOException, InterruptedException {
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
         address = new InetSocketAddress("127.0.0.1", port);
-        file = Files.createTempFile("beechseam-load", ".json");
+        configFile = Files.createTempFile("beechseam-load", ".json");
         Files.writeString(
-                file, "{\"listen\":\"127.0.0.1:" + port + "\",\"max_jobs\":3000000,\"functions\":" + functions + "}");
+                configFile,
+                "{\"listen\":\"127.0.0.1:" + port + "\",\"max_jobs\":3000000,\"functions\":" + functions + "}");
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(jvm);
@@ -42,38 +43,38 @@
                 "beechseam.cli.Main",
                 "serve",
                 "--gearman",
-                file.toString(),
+                configFile.toString(),
                 "--log-level",
                 "warning"));
-        said = Files.createTempFile("beechseam-load", ".log");
+        logFile = Files.createTempFile("beechseam-load", ".log");
         process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(said.toFile())
+                .redirectOutput(logFile.toFile())
                 .start();
-        for (long end = System.nanoTime() + UP_NS; !up(); ) {
+        for (long end = System.nanoTime() + START_TIMEOUT_NS; !acceptsConnections(); ) {
             if (System.nanoTime() > end || !process.isAlive()) {
-                throw new IOException("the server under load did not come up");
+                throw new IOException("the server under load exited or did not accept a connection in time");
             }
             Thread.sleep(50);
         }
     }
 
-    private boolean up() {
+    private boolean acceptsConnections() {
         try (Socket probe = new Socket()) {
             probe.connect(address, 200);
             return true;
         } catch (IOException e) {
-            return false; // not yet
+            return false; // not listening yet
         }
     }
 
-    /** Processor time that it has used, in nanoseconds. */
+    /** CPU time that the process has used, in nanoseconds. */
     long cpuNs() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO).toNanos();
     }
 
-    /** What it says to an admin line, up to its end. */
-    String ask(String line) {
+    /** Sends an admin line and returns the first line of the answer. */
+    String sendAdminLine(String line) {
         try (Socket s = new Socket()) {
             s.connect(address, 5000);
             s.setSoTimeout(60_000);
@@ -90,21 +91,21 @@
         }
     }
 
-    /** A figure of the counters line. */
+    /** Returns a figure of the server's counters line; -1 if there is none of that name. */
     long figure(String name) {
-        return figure(ask("counters"), name);
+        return figure(sendAdminLine("counters"), name);
     }
 
-    /** A figure of any line of counters, the first of that name; -1 for none. */
+    /** Returns the first figure of that name in a line of counters; -1 if there is none. */
     static long figure(String line, String name) {
         Matcher m = Pattern.compile("\"" + name + "\":(\\d+)").matcher(line);
         return m.find() ? Long.parseLong(m.group(1)) : -1;
     }
 
     /**
-     * Bytes of the heap in use after a full collection, by the runtime's own tool; -1 where there is none.
+     * Bytes of the heap in use after a full garbage collection, as jcmd reports them; -1 if its output has none.
      */
-    long heap() throws IOException, InterruptedException {
+    long usedHeapBytes() throws IOException, InterruptedException {
         String tool = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
         String pid = Long.toString(process.pid());
         new ProcessBuilder(tool, pid, "GC.run")
@@ -123,7 +124,7 @@
         return sum == 0 ? -1 : sum;
     }
 
-    /** Asks it to end and gives how long that took, in nanoseconds. */
+    /** Sends SIGTERM and returns the time until the process ended, in nanoseconds. */
     long stop() throws InterruptedException {
         long start = System.nanoTime();
         process.destroy();
@@ -133,9 +134,9 @@
         return System.nanoTime() - start;
     }
 
-    /** The last line that it wrote; empty for none. */
+    /** Returns the last line that the process wrote, or an empty string. */
     String lastLine() throws IOException {
-        List<String> lines = Files.readAllLines(said);
+        List<String> lines = Files.readAllLines(logFile);
         return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
     }
 
@@ -148,7 +149,7 @@
                 throw Interrupts.toIOException(e);
             }
         }
-        Files.deleteIfExists(file);
-        Files.deleteIfExists(said);
+        Files.deleteIfExists(configFile);
+        Files.deleteIfExists(logFile);
     }
 }
--- a/src/main/java/beechseam/load/Speaker.java
+++ b/src/main/java/beechseam/load/Speaker.java
@@ -9,10 +9,10 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** A connection that speaks Gearman to a server: the base of stand-in clients and workers. */
+/** A client-side Gearman connection to a server: the base class of the simulated clients and workers. */
 abstract class Speaker extends Connection implements PacketDecoder.Owner {
-    private static final int LONGEST = 1 << 28;
-    private final PacketDecoder decoder = new PacketDecoder(this, Packet.RES, LONGEST, 4096);
+    private static final int MAX_PACKET_BYTES = 1 << 28;
+    private final PacketDecoder decoder = new PacketDecoder(this, Packet.RES, MAX_PACKET_BYTES, 4096);
     String fault;
 
     Speaker(EventLoop loop, InetSocketAddress to) throws IOException {
@@ -37,7 +37,7 @@
 
     @Override
     public void unknown(int code) {
-        fault = "a packet of the unknown number " + code;
+        fault = "received a packet of the unknown type " + code;
     }
 
     @Override
@@ -58,18 +58,18 @@
 
     @Override
     protected void lost(IOException why) {
-        fault = fault == null ? "lost: " + why.getMessage() : fault;
+        fault = fault == null ? "connection lost: " + why.getMessage() : fault;
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    void say(Packet kind, Object... args) {
+    void sendPacket(Packet kind, Object... args) {
         write(kind.request(args));
     }
 
-    /** As text, where an error came. */
+    /** Formats the arguments of an ERROR packet, its code and text, as one message. */
     static String error(Arguments args) {
         return args.text(0) + ": " + args.text(1);
     }
--- a/src/main/java/beechseam/load/Worker.java
+++ b/src/main/java/beechseam/load/Worker.java
@@ -8,7 +8,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * A stand-in worker: does a job in no time, or in a stated one, and asks again; asleep while there is none.
+ * A simulated worker. It completes each job at once or after a fixed run time and then grabs the next; while the
+ * server has no job, it sleeps until woken by a NOOP.
  */
 final class Worker extends Speaker {
     private static final byte[] RESULT = "done".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
@@ -19,16 +20,16 @@
         super(loop, to);
         this.runNs = runNs;
         for (String each : functions) {
-            say(Packet.CAN_DO, each);
+            sendPacket(Packet.CAN_DO, each);
         }
-        say(Packet.GRAB_JOB);
+        sendPacket(Packet.GRAB_JOB);
     }
 
     @Override
     public void packet(Packet kind, Arguments args) {
         switch (kind) {
-            case NO_JOB -> say(Packet.PRE_SLEEP);
-            case NOOP -> say(Packet.GRAB_JOB);
+            case NO_JOB -> sendPacket(Packet.PRE_SLEEP);
+            case NOOP -> sendPacket(Packet.GRAB_JOB);
             case JOB_ASSIGN -> {
                 byte[] handle = args.bytes(0);
                 if (runNs == 0) {
@@ -51,7 +52,7 @@
 
     private void complete(byte[] handle) {
         done++;
-        // Both at once, as a client library's buffer would send them.
+        // One write for both packets, as a client library with an output buffer sends them.
         write(Packet.WORK_COMPLETE.request(handle, RESULT), Packet.GRAB_JOB.request());
     }
 }
--- a/src/main/java/beechseam/load/package-info.java
+++ b/src/main/java/beechseam/load/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Load on real sockets, with stand-in clients and workers of its own, against a server process that it
- * starts: what the figures in {@code docs/GEARMAN-MEASURED.md} come from. It may use {@code net} and
- * {@code gearman.protocol}; only {@code cli} uses it. Nothing of it runs in CI but a few seconds of each
+ * Load generators with simulated clients and workers. The Gearman scenarios use real sockets against a server
+ * process that they start, and produce the figures in {@code docs/GEARMAN-MEASURED.md}. This package may use
+ * {@code net} and {@code gearman.protocol}; only {@code cli} uses it. CI runs only a few seconds of each
  * scenario.
  */
 package beechseam.load;
--- a/src/test/java/beechseam/load/GearmanLoadTest.java
+++ b/src/test/java/beechseam/load/GearmanLoadTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The tool itself, for a moment each: what it measures is not judged here, what it counts is. */
+/** Short runs of the load scenarios: checks what they count, not the performance that they measure. */
 class GearmanLoadTest {
     private final GearmanLoad load = new GearmanLoad(0.1, List.of("-Xmx512m"), text -> {});
 
-    /** Clients and workers that do everything wrong, by a seed: the accounts must come out. */
+    /** Misbehaving clients and workers, driven by a seed: every accepted job must end exactly once. */
     @Test
-    void faultsLeaveNothingOwed() throws Exception {
+    void everyAcceptedJobEndsDespiteFaults() throws Exception {
         Row row = load.play(Scenario.FAULTS, List.of(400)).get(0);
         assertEquals(0, row.figures().get("wrong"), () -> "" + row.figures());
         assertEquals(row.figures().get("accepted"), row.figures().get("ended"));
@@ -22,7 +22,7 @@
         assertTrue((Long) row.figures().get("served") > 0);
     }
 
-    /** The library's accounts, by a seed: served, failed, full, slow and silent workers. */
+    /** Dispatches to workers that serve, fail, are full, are slow or never answer, driven by a seed. */
     @Test
     @Timeout(120)
     void everyDispatchIsAccountedFor() throws Exception {
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void whatIsQueuedIsCountedAndTheServerEnds() throws Exception {
+    void memoryPerQueuedJobIsMeasuredAndServerStops() throws Exception {
         Row memory = load.play(Scenario.MEMORY, List.of(20_000)).get(0);
         long bytes = ((Number) memory.figures().get("bytes_per_job")).longValue();
-        assertTrue(bytes > 100 && bytes < 1200, "bytes a job: " + bytes);
+        assertTrue(bytes > 100 && bytes < 1200, "bytes per job: " + bytes);
         Row stop = load.play(Scenario.STOP, List.of(5_000)).get(0);
         assertTrue(((Number) stop.figures().get("ms_to_end")).longValue() < 20_000);
     }
