--- a/src/test/java/beechseam/ArchitectureTest.java
+++ b/src/test/java/beechseam/ArchitectureTest.java
@@ -9,11 +9,11 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** What each package may use, as its package-info says; a wire that is imported into the core fails here. */
+/** Enforces the dependency rules of each package's package-info, such as a core without transport code. */
 @AnalyzeClasses(packages = "beechseam", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule CORE_KNOWS_NO_WIRE = classes()
+    static final ArchRule CORE_IS_INDEPENDENT_OF_TRANSPORT = classes()
             .that()
             .resideInAPackage("beechseam.core")
             .should()
@@ -21,7 +21,7 @@
             .resideInAnyPackage("beechseam.dispatch", "beechseam.core", "java.lang..", "java.util..");
 
     @ArchTest
-    static final ArchRule THE_MODULE_IS_BY_ITSELF = classes()
+    static final ArchRule DISPATCH_DEPENDS_ON_NO_OTHER_PACKAGE = classes()
             .that()
             .resideInAPackage("beechseam.dispatch")
             .should()
@@ -29,7 +29,7 @@
             .resideInAnyPackage("beechseam.dispatch", "java.lang..", "java.util..");
 
     @ArchTest
-    static final ArchRule WHAT_GEARMAN_DECIDES_IS_FREE_OF_IO = classes()
+    static final ArchRule GEARMAN_QUEUE_IS_FREE_OF_IO = classes()
             .that()
             .resideInAPackage("beechseam.gearman.queue")
             .should()
@@ -45,7 +45,7 @@
             .resideInAnyPackage("beechseam.fleet.membership", "java.lang..", "java.util..");
 
     @ArchTest
-    static final ArchRule THE_PROTOCOL_KNOWS_NO_SOCKET = classes()
+    static final ArchRule GEARMAN_PROTOCOL_IS_INDEPENDENT_OF_SOCKETS = classes()
             .that()
             .resideInAPackage("beechseam.gearman.protocol")
             .should()
@@ -53,7 +53,7 @@
             .resideInAnyPackage("beechseam.gearman.protocol", "java.lang..", "java.util..", "java.nio..");
 
     @ArchTest
-    static final ArchRule THE_LIBRARY_KNOWS_NO_FRONT = noClasses()
+    static final ArchRule LIBRARY_IS_INDEPENDENT_OF_FRONT_ENDS = noClasses()
             .that()
             .resideInAPackage("beechseam.library")
             .should()
@@ -69,7 +69,7 @@
                     "com..");
 
     @ArchTest
-    static final ArchRule MIDDLEWARE_USES_THE_LIBRARY_ALONE = noClasses()
+    static final ArchRule MIDDLEWARE_USES_ONLY_THE_LIBRARY = noClasses()
             .that()
             .resideInAnyPackage("beechseam.servlet", "beechseam.spring")
             .should()
@@ -82,7 +82,7 @@
                     "beechseam.gearman..");
 
     @ArchTest
-    static final ArchRule THE_SUITE_KNOWS_NOTHING_OF_OUR_SERVER = noClasses()
+    static final ArchRule CONFORMANCE_SUITE_IS_INDEPENDENT_OF_THE_SERVER = noClasses()
             .that()
             .resideInAPackage("beechseam.conformance")
             .should()
@@ -91,6 +91,6 @@
                     "beechseam.gearman", "beechseam.gearman.queue", "beechseam.core..", "beechseam.config..");
 
     @ArchTest
-    static final ArchRule NOTHING_RUNS_IN_CIRCLES =
+    static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
             slices().matching("beechseam.(*)..").should().beFreeOfCycles();
 }
--- a/src/test/java/beechseam/TermsAuditTest.java
+++ b/src/test/java/beechseam/TermsAuditTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The table of the terms: each row has a state, and names code and tests that are there. */
+/** Checks the table of the audited terms: each row has a state and names code and tests that exist. */
 class TermsAuditTest {
     private static final Path TABLE = Path.of("docs", "terms-audit.md");
     private static final Path CLASSES = Path.of("target", "classes");
@@ -30,7 +30,7 @@
     private static final String HEADING =
             "| page | clause | hardest fair reading | kept in | test at its limit | state |";
 
-    /** One row of a table; {@code cells} are its texts in order. */
+    /** One row of the table; {@code cells} are the texts of its columns in order. */
     private record Row(int line, List<String> cells) {
         private String places() {
             return cells.get(3);
@@ -71,7 +71,7 @@
             return List.of("line " + row.line() + ": " + row.cells().size() + " cells, not " + CELLS);
         }
         if (!STATES.contains(row.state())) {
-            problems.add("line " + row.line() + ": no state: " + row.state());
+            problems.add("line " + row.line() + ": unknown state: " + row.state());
         }
         if (row.shown() && !TEST.matcher(row.tests()).find()) {
             problems.add("line " + row.line() + ": " + row.state() + " without a test");
@@ -94,13 +94,13 @@
         List<String> missing = new ArrayList<>();
         while (names.find()) {
             if (!exists(root, names.group(1), names.group(2))) {
-                missing.add("line " + row.line() + ": there is no " + names.group());
+                missing.add("line " + row.line() + ": does not exist: " + names.group());
             }
         }
         return missing;
     }
 
-    /** Whether a class of that simple name has a method, field or class of the other name. */
+    /** Returns whether a class with that simple name declares a method or field named {@code member}. */
     private static boolean exists(Path root, String simpleName, String member) throws IOException {
         try (Stream<Path> files = Files.walk(root)) {
             return files.map(root::relativize)
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void everyRowHasAStateAndNamesWhatIsThere() throws IOException {
+    void everyRowHasAStateAndNamesExistingCode() throws IOException {
         List<Row> rows = rows(Files.readAllLines(TABLE));
         assertTrue(rows.size() > 80, "rows: " + rows.size());
         List<String> problems = new ArrayList<>();
@@ -133,7 +133,7 @@
         assertEquals(List.of(), problems);
     }
 
-    /** What it is to find, it finds. */
+    /** Each kind of fault in a row is reported exactly once. */
     @Test
     void faultyRowsAreFound() throws IOException {
         String good = "| P | may | first | `AttemptLifecycle.end` | TermsAuditTest#faultyRowsAreFound | holds |";
--- a/src/test/java/beechseam/knownred/KnownRedExtension.java
+++ b/src/test/java/beechseam/knownred/KnownRedExtension.java
@@ -13,17 +13,17 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests of {@link KnownRedList} as all others. A failure of one is printed with its cause and
- * reported as an aborted test, so that the build goes on. A listed test none of whose invocations fails makes
- * its class fail: its line has to be taken off the list.
+ * Runs the tests of {@link KnownRedList} like all others. A failure of a listed test is printed with its cause
+ * and reported as an aborted test, so that the build continues. If no invocation of a listed test fails, its
+ * class fails, as the test must be removed from the list.
  */
 public final class KnownRedExtension implements InvocationInterceptor, AfterAllCallback {
-    /** Configuration parameter with the path of another list than {@link KnownRedList#FILE}. */
+    /** Configuration parameter for the path of a list that replaces {@link KnownRedList#FILE}. */
     static final String FILE_PARAMETER = "beechseam.knownred.file";
 
     private static final Namespace NAMESPACE = Namespace.create(KnownRedExtension.class);
 
-    /** Of each listed test that has run in a class: whether any invocation has failed. */
+    /** For each listed test that ran in a class, whether any invocation has failed. */
     private static final class Outcomes {
         private final Map<String, Boolean> failed = new ConcurrentHashMap<>();
     }
@@ -52,7 +52,7 @@
         try {
             invocation.proceed();
             outcomes.failed.putIfAbsent(entry.test(), false);
-        } catch (Throwable failure) { // an assertion's error as well
+        } catch (Throwable failure) { // includes AssertionError
             outcomes.failed.put(entry.test(), true);
             String text = "known red: " + entry.test() + ": " + entry.cause() + " (" + entry.issue() + ")";
             System.out.println(text + ": " + failure);
@@ -68,7 +68,7 @@
                 .sorted()
                 .toList();
         if (!passing.isEmpty()) {
-            throw new AssertionError("take off the list of known failures what passes: " + passing);
+            throw new AssertionError("remove the tests that pass from the list of known failures: " + passing);
         }
     }
 
--- a/src/test/java/beechseam/knownred/KnownRedList.java
+++ b/src/test/java/beechseam/knownred/KnownRedList.java
@@ -17,16 +17,16 @@
 import org.junit.platform.commons.support.AnnotationSupport;
 
 /**
- * The tests that are known to fail, as a file lists them: one a line, {@code class#method, cause, issue}.
- * A cause may hold commas. The file may be missing or empty; blank lines are passed over.
+ * The tests that are known to fail, read from a file with one test per line: {@code class#method, cause, issue}.
+ * A cause may contain commas. The file may be missing or empty; blank lines are ignored.
  */
 final class KnownRedList {
-    /** Relative to the directory that the tests run in, the root of the project. */
+    /** Default path of the list, relative to the project root, in which the tests run. */
     static final Path FILE = Path.of("KNOWN-RED.txt");
-    /** The most tests that may be listed. */
+    /** Maximum number of listed tests. */
     static final int MAX_ENTRIES = 3;
 
-    /** A test that fails for a cause that is known and not mended yet. */
+    /** A test that fails for a known cause that is not fixed yet. */
     record Entry(String className, String methodName, String cause, String issue) {
         private static Entry of(String line) {
             int first = line.indexOf(',');
@@ -42,7 +42,7 @@
             return new Entry(name[0], name[1], cause, issue);
         }
 
-        /** The test in the form in which it is listed. */
+        /** Returns the test as {@code class#method}, the form used in the list. */
         String test() {
             return className + "#" + methodName;
         }
@@ -56,9 +56,9 @@
             try {
                 Stream<Method> methods = Stream.of(Class.forName(className).getDeclaredMethods());
                 boolean isTest = methods.filter(this::names).anyMatch(KnownRedList::isJupiterTest);
-                return isTest ? Optional.empty() : Optional.of(test() + " is no test of JUnit Jupiter");
+                return isTest ? Optional.empty() : Optional.of(test() + " is not a JUnit Jupiter test");
             } catch (ClassNotFoundException e) {
-                return Optional.of(test() + " names no class");
+                return Optional.of(test() + ": the class does not exist");
             }
         }
     }
@@ -69,7 +69,7 @@
         this.entries = entries;
     }
 
-    /** Reads the list; empty where there is no file. */
+    /** Reads the list from a file; a missing file is an empty list. */
     static KnownRedList read(Path file) {
         try {
             return of(Files.readAllLines(file));
@@ -85,16 +85,16 @@
                 lines.stream().filter(line -> !line.isBlank()).map(Entry::of).toList());
     }
 
-    /** The entry of a test method, where it is listed. */
+    /** Returns the entry of a test method, if it is listed. */
     Optional<Entry> find(Method method) {
         return entries.stream().filter(entry -> entry.names(method)).findFirst();
     }
 
-    /** All that is wrong with the list itself. */
+    /** Returns the errors of the list itself: too many entries, duplicates, and names that match no test. */
     List<String> problems() {
         List<String> problems = new ArrayList<>();
         if (entries.size() > MAX_ENTRIES) {
-            problems.add(entries.size() + " tests are listed, " + MAX_ENTRIES + " are the most");
+            problems.add(entries.size() + " tests are listed, " + MAX_ENTRIES + " is the maximum");
         }
         Set<String> seen = new HashSet<>();
         for (Entry entry : entries) {
--- a/src/test/java/beechseam/knownred/KnownRedTest.java
+++ b/src/test/java/beechseam/knownred/KnownRedTest.java
@@ -17,13 +17,13 @@
 import org.junit.platform.testkit.engine.EventStatistics;
 import org.junit.platform.testkit.engine.Events;
 
-/** The list of known failures, and what it makes of the tests that it names. */
+/** The list of known failures, and its effect on the results of the listed tests. */
 class KnownRedTest {
     private static final String FAILS = Sample.class.getName() + "#fails";
     private static final String PASSES = Sample.class.getName() + "#passes";
     private static final String FAILS_ONCE = Sample.class.getName() + "#failsOnce";
 
-    /** Run by the test kit alone: a nested class is none of Surefire's tests. */
+    /** Run only through the test kit: Surefire does not run nested classes as tests. */
     static class Sample {
         @Test
         void fails() {
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void theListOfThisProjectIsInOrder() {
+    void projectListHasNoProblems() {
         assertEquals(List.of(), KnownRedList.read(KnownRedList.FILE).problems());
     }
 
     @Test
-    void aListedFailureDoesNotFailTheBuildAndAnotherDoes(@TempDir Path directory) throws Exception {
+    void listedFailureIsAbortedAndUnlistedOneFails(@TempDir Path directory) throws Exception {
         Events events = run(directory, true, line(FAILS));
         events.assertStatistics(all -> all.aborted(1).failed(1).succeeded(2));
         assertTrue(events.aborted().stream().allMatch(event -> event.toString().contains("a fault, not mended")));
@@ -73,12 +73,12 @@
     }
 
     @Test
-    void aListedTestThatPassesFailsItsClass(@TempDir Path directory) throws Exception {
+    void listedTestThatPassesFailsItsClass(@TempDir Path directory) throws Exception {
         assertEquals(1, run(directory, false, line(PASSES)).failed().count());
     }
 
     @Test
-    void aListedTestWithOneFailingInvocationMayHaveOthersThatPass(@TempDir Path directory) throws Exception {
+    void listedTestMayHavePassingInvocationsBesideAFailingOne(@TempDir Path directory) throws Exception {
         run(directory, true, line(FAILS_ONCE))
                 .assertStatistics((EventStatistics all) -> all.aborted(1).failed(1));
         assertEquals(0, run(directory, false, line(FAILS_ONCE)).failed().count());
@@ -91,17 +91,17 @@
                 "beechseam.knownred.KnownRedTest#noSuchMethod",
                 "beechseam.knownred.KnownRedTest$Sample#property"
             })
-    void aNameThatMatchesNoTestIsAProblem(String test) {
+    void nameThatMatchesNoTestIsAProblem(String test) {
         List<String> problems = KnownRedList.of(List.of(line(test))).problems();
         assertEquals(1, problems.size(), problems.toString());
         assertTrue(problems.get(0).startsWith(test), problems.get(0));
     }
 
     @Test
-    void aFourthTestAndASecondLineOfOneAreProblems() {
+    void tooManyEntriesAndDuplicatesAreProblems() {
         List<String> lines = List.of(line(FAILS), line(PASSES), "", line(FAILS_ONCE), line(FAILS));
         List<String> problems = KnownRedList.of(lines).problems();
-        assertEquals(List.of("4 tests are listed, 3 are the most", FAILS + " is listed twice"), problems);
+        assertEquals(List.of("4 tests are listed, 3 is the maximum", FAILS + " is listed twice"), problems);
     }
 
     @ParameterizedTest
@@ -115,13 +115,13 @@
                 "a#b, , issue",
                 "a#b, cause,"
             })
-    void aLineOfAnotherFormIsRefused(String line) {
+    void malformedLineIsRejected(String line) {
         var refused = assertThrows(IllegalArgumentException.class, () -> KnownRedList.of(List.of(line)));
         assertTrue(refused.getMessage().endsWith(line), refused.getMessage());
     }
 
     @Test
-    void noFileIsAnEmptyList(@TempDir Path directory) {
+    void missingFileIsAnEmptyList(@TempDir Path directory) {
         assertEquals(List.of(), KnownRedList.read(directory.resolve("none")).problems());
     }
 }
