--- a/src/main/java/beechseam/library/Balancer.java
+++ b/src/main/java/beechseam/library/Balancer.java
@@ -154,14 +154,14 @@
         }
         classes.add(PACE);
         DispatchLimits limits = new DispatchLimits(
-                b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.copies, 0);
+                b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.hedging, 0);
         WorkerRules rules = new WorkerRules(
                 0,
                 Long.MAX_VALUE,
-                b.coldShare,
-                b.coldFor.toNanos(),
-                b.coldLimit,
-                b.coldFor.isZero() ? 0 : b.coldSpan.toNanos(),
+                b.slowStartShare,
+                b.slowStartFor.toNanos(),
+                b.slowStartLimit,
+                b.slowStartFor.isZero() ? 0 : b.slowStartSpan.toNanos(),
                 false);
         DispatchSettings settings = new DispatchSettings(
                 classes,
@@ -217,14 +217,14 @@
         private Collection<Target> targets = List.of();
         private Executor executor = ForkJoinPool.commonPool();
         private int attempts = 3;
-        private boolean copies;
+        private boolean hedging;
         private Duration retryAfter = Duration.ofSeconds(1);
         private String zone = Target.ANYWHERE;
         private double crossZonePrice;
-        private double coldShare = 1;
-        private Duration coldFor = Duration.ZERO;
-        private double coldLimit = 1;
-        private Duration coldSpan = Duration.ofSeconds(1);
+        private double slowStartShare = 1;
+        private Duration slowStartFor = Duration.ZERO;
+        private double slowStartLimit = 1;
+        private Duration slowStartSpan = Duration.ofSeconds(1);
         private long seed = System.nanoTime();
 
         private Builder(Sender<Q, R> sender) {
@@ -263,8 +263,8 @@
         }
 
         /** Whether a job that may be repeated may run twice at once when the first is slow (no). */
-        public Builder<Q, R> copies(boolean allowed) {
-            copies = allowed;
+        public Builder<Q, R> hedging(boolean allowed) {
+            hedging = allowed;
             return this;
         }
 
@@ -292,15 +292,15 @@
          * and sent more than {@code limit} times what it can do at that moment, for {@code span}, it would
          * fall over.
          */
-        public Builder<Q, R> cold(double share, Duration warmAfter, double limit, Duration span) {
+        public Builder<Q, R> slowStart(double share, Duration warmAfter, double limit, Duration span) {
             if (!(share > 0 && share <= 1) || warmAfter.isNegative() || !(limit >= 1) || span.isNegative()) {
-                throw new IllegalArgumentException("cold: a share above 0 and at most 1, times not negative"
+                throw new IllegalArgumentException("slowStart: a share above 0 and at most 1, times not negative"
                         + " and a limit of at least 1 are needed");
             }
-            coldShare = share;
-            coldFor = warmAfter;
-            coldLimit = limit;
-            coldSpan = span;
+            slowStartShare = share;
+            slowStartFor = warmAfter;
+            slowStartLimit = limit;
+            slowStartSpan = span;
             return this;
         }
 
--- a/src/main/java/beechseam/library/JobType.java
+++ b/src/main/java/beechseam/library/JobType.java
@@ -1,66 +1,66 @@
 package beechseam.library;
 
-import beechseam.dispatch.Idempotency;
 import beechseam.dispatch.JobClass;
 import java.time.Duration;
 import java.util.Objects;
 
 /**
- * What is the same for all jobs of a name.
+ * Describes a type of job: its latency objective, its deadline, its weight and whether a repeat of it is harmless.
  *
- * @param name     of the type
- * @param aim      wanted time, besides {@code stretch} times the run
- * @param stretch  how often its own run time a job may take beyond the aim
- * @param deadline when a job is given up, unless its dispatch says otherwise
- * @param worth    what a job in time is worth, against other types
- * @param lateWorth share of the worth that a job has after its aim, from 0 to 1
- * @param repeats  what doing it twice does
- * @param group    for keyed ones: which targets drop a repeat
- * @param window   for keyed ones: how long they do
- * @param kind     the only kind of target that does it, or null for any
+ * @param name               the name by which jobs of this type are dispatched
+ * @param latencyObjective   the constant part of the latency objective, to which {@code stretch} times the run
+ *                           time is added
+ * @param stretch            the multiple of its own run time that a job may take on top of the constant part
+ * @param deadline           the time after which a job is given up, unless its dispatch names another
+ * @param priorityWeight     the weight of a job that meets its latency objective, relative to other types
+ * @param lateWeight         the share of the priority weight that remains once the objective is missed, from 0 to 1
+ * @param idempotency        the effect of running a job twice
+ * @param deduplicationScope for keyed types: the targets that recognise and drop a repeat
+ * @param window             for keyed types: how long those targets drop a repeat
+ * @param kind               the only kind of target that runs the job, or null for any kind
  */
 public record JobType(
         String name,
-        Duration aim,
+        Duration latencyObjective,
         double stretch,
         Duration deadline,
-        double worth,
-        double lateWorth,
-        Repeats repeats,
-        Group group,
+        double priorityWeight,
+        double lateWeight,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
         Duration window,
         String kind) {
-    /** What a repeat of a job does. */
-    public enum Repeats {
-        /** Nothing. */
-        SAFE,
-        /** Nothing at targets that drop it by its key, for a while. */
+    /** The effect of running a job more than once. */
+    public enum Idempotency {
+        /** A repeat has no further effect. */
+        IDEMPOTENT,
+        /** Targets drop a repeat by its key, within the deduplication scope and for the length of the window. */
         KEYED,
-        /** Harm: what may have run is never sent again. */
-        UNSAFE
+        /** A repeat does harm: a job that may have run is never sent again. */
+        NON_IDEMPOTENT
     }
 
-    /** Which targets drop a repeat of a keyed job. */
-    public enum Group {
+    /** The targets that drop a repeat of a keyed job: all of them, those of the zone or those of the cell. */
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** Checks its parts; an {@link IllegalArgumentException} names the faulty one. */
+    /** Checks the components; the {@link IllegalArgumentException} names the invalid one. */
     public JobType {
         Objects.requireNonNull(name, "name");
-        Objects.requireNonNull(repeats, "repeats");
-        Objects.requireNonNull(group, "group");
+        Objects.requireNonNull(idempotency, "idempotency");
+        Objects.requireNonNull(deduplicationScope, "deduplicationScope");
         check(name, "deadline", !deadline.isNegative() && !deadline.isZero(), "must be above 0", deadline);
-        check(name, "aim", !aim.isNegative(), "must not be negative", aim);
+        check(name, "latencyObjective", !latencyObjective.isNegative(), "must not be negative", latencyObjective);
         check(name, "stretch", stretch >= 0, "must not be negative", stretch);
-        check(name, "worth", worth > 0, "must be above 0", worth);
-        check(name, "lateWorth", lateWorth >= 0 && lateWorth <= 1, "must be from 0 to 1", lateWorth);
+        check(name, "priorityWeight", priorityWeight > 0, "must be above 0", priorityWeight);
+        check(name, "lateWeight", lateWeight >= 0 && lateWeight <= 1, "must be from 0 to 1", lateWeight);
         check(
                 name,
                 "window",
-                repeats != Repeats.KEYED || !window.isZero() && !window.isNegative(),
+                idempotency != Idempotency.KEYED || !window.isZero() && !window.isNegative(),
                 "must be above 0 for a keyed type",
                 window);
     }
@@ -71,51 +71,110 @@
         }
     }
 
-    /** One that is not to be repeated, of worth 1, wanted within a quarter of its deadline. */
+    /** Creates a non-idempotent type of priority weight 1 whose latency objective is a quarter of its deadline. */
     public static JobType of(String name, Duration deadline) {
         return new JobType(
-                name, deadline.dividedBy(4), 1, deadline, 1, 0.9, Repeats.UNSAFE, Group.CELL, Duration.ZERO, null);
+                name,
+                deadline.dividedBy(4),
+                1,
+                deadline,
+                1,
+                0.9,
+                Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.CELL,
+                Duration.ZERO,
+                null);
     }
 
-    /** Doing it twice does nothing. */
-    public JobType safe() {
-        return new JobType(name, aim, stretch, deadline, worth, lateWorth, Repeats.SAFE, group, window, kind);
+    /** Returns this type as an idempotent one. */
+    public JobType idempotent() {
+        return new JobType(
+                name,
+                latencyObjective,
+                stretch,
+                deadline,
+                priorityWeight,
+                lateWeight,
+                Idempotency.IDEMPOTENT,
+                deduplicationScope,
+                window,
+                kind);
     }
 
-    /** Targets of the group drop a repeat for that long. */
-    public JobType keyed(Group where, Duration howLong) {
-        return new JobType(name, aim, stretch, deadline, worth, lateWorth, Repeats.KEYED, where, howLong, kind);
+    /** Returns this type as a keyed one: targets within the scope drop a repeat during the window. */
+    public JobType keyed(DeduplicationScope newScope, Duration newWindow) {
+        return new JobType(
+                name,
+                latencyObjective,
+                stretch,
+                deadline,
+                priorityWeight,
+                lateWeight,
+                Idempotency.KEYED,
+                newScope,
+                newWindow,
+                kind);
     }
 
-    /** Wanted within the aim plus stretch times its run. */
-    public JobType wantedWithin(Duration theAim, double theStretch) {
-        return new JobType(name, theAim, theStretch, deadline, worth, lateWorth, repeats, group, window, kind);
+    /** Returns this type with a latency objective of a constant part plus a multiple of the run time. */
+    public JobType latencyObjective(Duration newObjective, double newStretch) {
+        return new JobType(
+                name,
+                newObjective,
+                newStretch,
+                deadline,
+                priorityWeight,
+                lateWeight,
+                idempotency,
+                deduplicationScope,
+                window,
+                kind);
     }
 
-    /** Worth so much in time, and that share of it when late. */
-    public JobType worth(double inTime, double lateShare) {
-        return new JobType(name, aim, stretch, deadline, inTime, lateShare, repeats, group, window, kind);
+    /** Returns this type with a weight for jobs in time, and the share of it that late jobs keep. */
+    public JobType priorityWeight(double newWeight, double newLateWeight) {
+        return new JobType(
+                name,
+                latencyObjective,
+                stretch,
+                deadline,
+                newWeight,
+                newLateWeight,
+                idempotency,
+                deduplicationScope,
+                window,
+                kind);
     }
 
-    /** Done by this kind of target only. */
-    public JobType doneBy(String theKind) {
-        return new JobType(name, aim, stretch, deadline, worth, lateWorth, repeats, group, window, theKind);
+    /** Returns this type restricted to targets of one kind. */
+    public JobType doneBy(String newKind) {
+        return new JobType(
+                name,
+                latencyObjective,
+                stretch,
+                deadline,
+                priorityWeight,
+                lateWeight,
+                idempotency,
+                deduplicationScope,
+                window,
+                newKind);
     }
 
     JobClass toClass() {
         return new JobClass(
                 name,
-                aim.toNanos(),
+                latencyObjective.toNanos(),
                 deadline.toNanos(),
                 stretch,
-                worth,
-                lateWorth,
-                switch (repeats) {
-                    case SAFE -> Idempotency.IDEMPOTENT;
-                    case KEYED -> Idempotency.KEYED;
-                    case UNSAFE -> Idempotency.NON_IDEMPOTENT;
+                priorityWeight,
+                lateWeight,
+                switch (idempotency) {
+                    case IDEMPOTENT -> beechseam.dispatch.Idempotency.IDEMPOTENT;
+                    case KEYED -> beechseam.dispatch.Idempotency.KEYED;
+                    case NON_IDEMPOTENT -> beechseam.dispatch.Idempotency.NON_IDEMPOTENT;
                 },
-                beechseam.dispatch.DeduplicationScope.valueOf(group.name()),
+                beechseam.dispatch.DeduplicationScope.valueOf(deduplicationScope.name()),
                 window.toNanos(),
                 kind);
     }
--- a/src/main/java/beechseam/library/Target.java
+++ b/src/main/java/beechseam/library/Target.java
@@ -8,7 +8,7 @@
  *
  * @param id       its name, the same for as long as it is the same
  * @param zone     where it is; leaving one's own zone may have a price
- * @param cell     a group within the zone; {@link JobType.Group#CELL} repeats stay in it
+ * @param cell     a group within the zone; {@link JobType.DeduplicationScope#CELL} repeats stay in it
  * @param kind     what kind of target it is; a job type may ask for one
  * @param slots    jobs that it does at once, at least 1; 0 where that is not known
  * @param started  when its process started, or null for long ago: one that has just started is given less
--- a/src/main/java/beechseam/load/LibraryLoad.java
+++ b/src/main/java/beechseam/load/LibraryLoad.java
@@ -63,7 +63,7 @@
         long start = System.nanoTime();
         Map<String, Object> figures = new LinkedHashMap<>();
         try (Balancer<Integer, Integer> balancer = Balancer.builder(sender)
-                .type(JobType.of("safe", DEADLINE).safe())
+                .type(JobType.of("safe", DEADLINE).idempotent())
                 .type(JobType.of("once", DEADLINE))
                 .targets(targets)
                 .seed(seed)
--- a/src/test/java/beechseam/library/BalancerTest.java
+++ b/src/test/java/beechseam/library/BalancerTest.java
@@ -26,7 +26,7 @@
 /** The library's front door, with senders that do what real ones might. */
 class BalancerTest {
     private static final Duration LONG = Duration.ofSeconds(20);
-    private static final JobType SAFE = JobType.of("safe", LONG).safe();
+    private static final JobType SAFE = JobType.of("safe", LONG).idempotent();
     private static final JobType ONCE = JobType.of("once", LONG);
 
     /** Attempts that wait for the test to end them. */
@@ -306,7 +306,7 @@
 
     @Test
     void keyedRepeatsStayInTheirGroup() throws Exception {
-        JobType keyed = JobType.of("keyed", LONG).keyed(JobType.Group.CELL, Duration.ofSeconds(10));
+        JobType keyed = JobType.of("keyed", LONG).keyed(JobType.DeduplicationScope.CELL, Duration.ofSeconds(10));
         balancer = Balancer.<String, String>builder(this::hold)
                 .type(keyed)
                 .seed(1)
@@ -485,8 +485,8 @@
         assertTrue(assertThrows(IllegalArgumentException.class, () -> JobType.of("t", Duration.ZERO))
                 .getMessage()
                 .startsWith("job type t: deadline must be above 0"));
-        assertThrows(IllegalArgumentException.class, () -> SAFE.keyed(JobType.Group.ALL, Duration.ZERO));
-        assertThrows(IllegalArgumentException.class, () -> SAFE.worth(0, 0));
+        assertThrows(IllegalArgumentException.class, () -> SAFE.keyed(JobType.DeduplicationScope.ALL, Duration.ZERO));
+        assertThrows(IllegalArgumentException.class, () -> SAFE.priorityWeight(0, 0));
         assertThrows(IllegalArgumentException.class, () -> Target.of("a").withSlots(-1));
         assertThrows(
                 IllegalArgumentException.class,
--- a/src/test/java/beechseam/spring/BalancedCallsTest.java
+++ b/src/test/java/beechseam/spring/BalancedCallsTest.java
@@ -24,7 +24,7 @@
 class BalancedCallsTest {
     private final List<String> called = Collections.synchronizedList(new ArrayList<>());
     private final Balancer<BalancedCalls.Call, ClientHttpResponse> balancer = Balancer.builder(BalancedCalls.sender())
-            .type(JobType.of("read", Duration.ofSeconds(20)).safe())
+            .type(JobType.of("read", Duration.ofSeconds(20)).idempotent())
             .type(JobType.of("once", Duration.ofSeconds(20)))
             .type(JobType.of("short", Duration.ofMillis(300)))
             .targets(List.of(Target.of("10.0.0.1:8080"), Target.of("10.0.0.2:8080")))
