--- a/src/main/java/beechseam/library/Balancer.java
+++ b/src/main/java/beechseam/library/Balancer.java
@@ -46,23 +46,24 @@
 import java.util.function.BiConsumer;
 
 /**
- * Sends each job to the target of lowest speed-scaled load, repeats it as its type allows, and refuses in
- * time what none can do: the daemon's engine and decision module, in the host's own process. Its state is
- * kept by one thread of its own; every method may be called from any thread and none blocks, but for
- * {@link #close}. Two balancers in one process do not touch.
+ * Sends each job to the target with the lowest load relative to its speed, retries it as its type allows, and
+ * refuses early a job that no target can run in time. It runs the daemon's engine and dispatcher in the process of
+ * the host application. One thread of its own holds the state; every method may be called from any thread, and none
+ * blocks except {@link #close}. Several balancers in one process are independent of each other.
  *
- * @param <Q> what a job carries
- * @param <R> what targets give
+ * @param <Q> the payload of a job
+ * @param <R> the result that targets return
  */
 public final class Balancer<Q, R> implements AutoCloseable {
     private static final Logger LOG = System.getLogger(Balancer.class.getName());
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_CLOSE_TIMEOUT = Duration.ofSeconds(10);
     /**
-     * No job is of this class. The module looks at its jobs eight times in the shortest aim, and refuses what
-     * has less than two such looks left: with a host's long aims, each dispatch of a short deadline would be
-     * refused at once.
+     * A class that no job belongs to, whose short latency objective sets the interval of the dispatcher's checks.
+     * The dispatcher checks its jobs eight times within the shortest objective of all classes and refuses a job
+     * with less than two such intervals left. With only the long objectives of a host, it would refuse each
+     * dispatch with a short deadline at once.
      */
-    private static final JobClass PACE = new JobClass(
+    private static final JobClass CHECK_INTERVAL_CLASS = new JobClass(
             "",
             160_000_000L,
             160_000_000L,
@@ -74,15 +75,15 @@
             0,
             "");
 
-    private static final long CHECK_NS = 5_000_000L;
-    /** A target older than this has started long ago, whatever its host says. */
+    private static final long DRAIN_CHECK_INTERVAL_NS = 5_000_000L;
+    /** Cap for the age of a target: any target that started earlier counts as this old. */
     private static final long MAX_AGE_MS = Duration.ofDays(365).toMillis();
 
     private static final String CLOSED = "the balancer is closed";
 
     private final Sender<Q, R> sender;
     private final Executor executor;
-    /** Delivers what the host's executor refuses; its thread lives only while there is such a thing. */
+    /** Delivers outcomes that the host's executor rejects; its thread exits when it is idle. */
     private final ThreadPoolExecutor fallback;
 
     private final Map<String, Integer> types = new HashMap<>();
@@ -92,76 +93,82 @@
     private final Counters counters = new Counters();
     private final long retryAfterNs;
     private final Thread thread;
-    private final Map<String, Place> byId = new HashMap<>();
-    private final Map<Long, Place> byNumber = new HashMap<>();
-    private final Set<Dispatched> open = new HashSet<>();
+    private final Map<String, TargetState> byId = new HashMap<>();
+    private final Map<Long, TargetState> byNumber = new HashMap<>();
+    private final Set<PendingDispatch> open = new HashSet<>();
     private final CompletableFuture<Boolean> closed = new CompletableFuture<>();
     private long lastNumber;
-    private long listedAt;
-    private long lastName;
+    private long lastUpdateAt;
+    private long lastRequestId;
     private volatile boolean closing;
 
-    /** A target as the loop's thread knows it. */
-    private static final class Place {
+    /** The state of a target, which only the loop's thread uses. */
+    private static final class TargetState {
         final long number;
         Target target;
-        int out;
-        private Instant dated;
+        int inFlight;
+        private Instant startDate;
         private long startedAt;
 
-        Place(long number) {
+        TargetState(long number) {
             this.number = number;
         }
 
         /**
-         * When it started on the loop's clock, 0 for long ago. The host dates it by a wall clock, which may
-         * have been stepped: a date that lies ahead, or before the list in which it was another, counts as
-         * now.
+         * Returns the start time on the loop's clock, 0 for long ago. The host dates it by a wall clock, which
+         * may have been stepped: a changed date counts as now if it lies in the future or before the target list
+         * that carried the previous date.
          */
-        long startedAt(Instant date, long now, long listedAt) {
+        long startedAt(Instant date, long now, long lastUpdateAt) {
             if (date == null) {
                 startedAt = 0;
-            } else if (!date.equals(dated)) {
+            } else if (!date.equals(startDate)) {
                 long ageMs = Math.min(Duration.between(date, Instant.now()).toMillis(), MAX_AGE_MS);
                 long ageNs = ageMs * 1_000_000L;
-                long earliest = dated == null ? 1 : listedAt;
+                long earliest = startDate == null ? 1 : lastUpdateAt;
                 startedAt = ageNs >= 0 && now - ageNs >= earliest ? now - ageNs : now;
             }
-            dated = date;
+            startDate = date;
             return startedAt;
         }
 
         /**
-         * What the module is told of its load; null where its slots are not known, as own attempts say
-         * enough.
+         * Returns the load report for the dispatcher, or null if the number of slots is unknown: the dispatcher
+         * then estimates the load from this balancer's own attempts.
          */
         LoadReport load() {
             return target.slots() == 0
                     ? null
-                    : new LoadReport(out, 0, Math.max(0, target.slots() - out), Double.NaN, Double.NaN);
+                    : new LoadReport(inFlight, 0, Math.max(0, target.slots() - inFlight), Double.NaN, Double.NaN);
         }
     }
 
-    private Balancer(Builder<Q, R> b) {
-        sender = b.sender;
-        executor = b.executor;
-        retryAfterNs = b.retryAfter.toNanos();
-        jobTypes = List.copyOf(b.types.values());
+    private Balancer(Builder<Q, R> builder) {
+        sender = builder.sender;
+        executor = builder.executor;
+        retryAfterNs = builder.retryAfter.toNanos();
+        jobTypes = List.copyOf(builder.types.values());
         List<JobClass> classes = new ArrayList<>();
         for (JobType each : jobTypes) {
             types.put(each.name(), classes.size());
             classes.add(each.toClass());
         }
-        classes.add(PACE);
+        classes.add(CHECK_INTERVAL_CLASS);
         DispatchLimits limits = new DispatchLimits(
-                b.attempts, b.retryAfter.toNanos(), !b.retryAfter.isZero(), true, false, b.hedging, 0);
+                builder.attempts,
+                builder.retryAfter.toNanos(),
+                !builder.retryAfter.isZero(),
+                true,
+                false,
+                builder.hedging,
+                0);
         WorkerRules rules = new WorkerRules(
                 0,
                 Long.MAX_VALUE,
-                b.slowStartShare,
-                b.slowStartFor.toNanos(),
-                b.slowStartLimit,
-                b.slowStartFor.isZero() ? 0 : b.slowStartSpan.toNanos(),
+                builder.slowStartShare,
+                builder.slowStartDuration.toNanos(),
+                builder.slowStartLimit,
+                builder.slowStartDuration.isZero() ? 0 : builder.slowStartSpan.toNanos(),
                 false);
         DispatchSettings settings = new DispatchSettings(
                 classes,
@@ -171,17 +178,17 @@
                 false,
                 1,
                 0,
-                b.zone,
+                builder.zone,
                 true,
                 0,
-                b.crossZonePrice,
+                builder.crossZoneCost,
                 0,
                 0,
                 false);
         fallback = new ThreadPoolExecutor(1, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
-            Thread t = new Thread(task, "beechseam-answers");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(task, "beechseam-answers");
+            thread.setDaemon(true);
+            return thread;
         });
         fallback.allowCoreThreadTimeOut(true);
         try {
@@ -189,15 +196,15 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        engine = new Engine(settings, b.seed, loop::now, loop.timers, new ToSender(), counters);
-        List<Target> first = List.copyOf(b.targets);
-        loop.post(() -> list(first));
+        engine = new Engine(settings, builder.seed, loop::now, loop.timers, new SenderEgress(), counters);
+        List<Target> first = List.copyOf(builder.targets);
+        loop.post(() -> updateTargets(first));
         thread = new Thread(
                 () -> {
                     try {
                         loop.run();
                     } catch (IOException e) {
-                        LOG.log(Level.ERROR, "the balancer's loop has failed", e);
+                        LOG.log(Level.ERROR, "balancer event loop failed; no further job is dispatched", e);
                     }
                 },
                 "beechseam-balancer");
@@ -205,12 +212,12 @@
         thread.start();
     }
 
-    /** Begins a balancer; {@code sender} is asked to take each attempt to its target. */
+    /** Returns a builder of a balancer whose attempts are sent by {@code sender}. */
     public static <Q, R> Builder<Q, R> builder(Sender<Q, R> sender) {
         return new Builder<>(sender);
     }
 
-    /** What a balancer is made of. */
+    /** Collects the configuration of a balancer. */
     public static final class Builder<Q, R> {
         private final Sender<Q, R> sender;
         private final Map<String, JobType> types = new LinkedHashMap<>();
@@ -220,9 +227,9 @@
         private boolean hedging;
         private Duration retryAfter = Duration.ofSeconds(1);
         private String zone = Target.ANYWHERE;
-        private double crossZonePrice;
+        private double crossZoneCost;
         private double slowStartShare = 1;
-        private Duration slowStartFor = Duration.ZERO;
+        private Duration slowStartDuration = Duration.ZERO;
         private double slowStartLimit = 1;
         private Duration slowStartSpan = Duration.ofSeconds(1);
         private long seed = System.nanoTime();
@@ -231,44 +238,45 @@
             this.sender = Objects.requireNonNull(sender, "sender");
         }
 
-        /** Adds a type of job; at least one is needed. */
+        /** Adds a job type; at least one is required. */
         public Builder<Q, R> type(JobType type) {
             if (types.put(type.name(), type) != null) {
-                throw new IllegalArgumentException("job type " + type.name() + ": is there twice");
+                throw new IllegalArgumentException("job type " + type.name() + ": is defined twice");
             }
             return this;
         }
 
-        /** The targets to begin with; {@link Balancer#targets} replaces them later. */
+        /** Sets the initial targets; {@link Balancer#targets} replaces them later. */
         public Builder<Q, R> targets(Collection<Target> first) {
             targets = List.copyOf(first);
             return this;
         }
 
         /**
-         * Where sending, progress and whatever hangs on outcomes run; the common pool unless one is given.
+         * Sets the executor that runs the sender, progress callbacks and stages that depend on outcomes (the
+         * common pool by default).
          */
-        public Builder<Q, R> executor(Executor hosts) {
-            executor = Objects.requireNonNull(hosts, "executor");
+        public Builder<Q, R> executor(Executor hostExecutor) {
+            executor = Objects.requireNonNull(hostExecutor, "executor");
             return this;
         }
 
-        /** Attempts at a job at most, from 1 on (3). */
-        public Builder<Q, R> attempts(int most) {
-            if (most < 1) {
-                throw new IllegalArgumentException("attempts: must be at least 1, not " + most);
+        /** Sets the maximum number of attempts per job, at least 1 (3 by default). */
+        public Builder<Q, R> attempts(int maximum) {
+            if (maximum < 1) {
+                throw new IllegalArgumentException("attempts: must be at least 1, not " + maximum);
             }
-            attempts = most;
+            attempts = maximum;
             return this;
         }
 
-        /** Whether a job that may be repeated may run twice at once when the first is slow (no). */
+        /** Sets whether a repeatable job may be hedged while a slow attempt is in flight (no by default). */
         public Builder<Q, R> hedging(boolean allowed) {
             hedging = allowed;
             return this;
         }
 
-        /** What a refusal advises; zero for nothing (1 s). */
+        /** Sets the wait that a refusal advises before the next try; zero for no advice (1 s by default). */
         public Builder<Q, R> retryAfter(Duration advice) {
             if (advice.isNegative()) {
                 throw new IllegalArgumentException("retryAfter: must not be negative, not " + advice);
@@ -277,62 +285,62 @@
             return this;
         }
 
-        /** Where this balancer is, and what leaving it costs as a share of a job's worth, from 0 to 1. */
-        public Builder<Q, R> zone(String here, double price) {
-            if (!(price >= 0 && price <= 1)) {
-                throw new IllegalArgumentException("zone: the price must be from 0 to 1, not " + price);
+        /** Sets this balancer's zone, and the cost of another zone as a share of the priority weight, from 0 to 1. */
+        public Builder<Q, R> zone(String ownZone, double cost) {
+            if (!(cost >= 0 && cost <= 1)) {
+                throw new IllegalArgumentException("zone: the cost must be from 0 to 1, not " + cost);
             }
-            zone = Objects.requireNonNull(here, "zone");
-            crossZonePrice = price;
+            zone = Objects.requireNonNull(ownZone, "zone");
+            crossZoneCost = cost;
             return this;
         }
 
         /**
-         * How a target that has just started warms up: from a share of what it can do, evenly over a time;
-         * and sent more than {@code limit} times what it can do at that moment, for {@code span}, it would
-         * fall over.
+         * Sets the slow start of a target that has just started. Its capacity grows linearly from a share of its
+         * full capacity to the whole during {@code warmAfter}. The target is assumed to fail if it gets more than
+         * {@code limit} times its present capacity for the duration of {@code span}.
          */
         public Builder<Q, R> slowStart(double share, Duration warmAfter, double limit, Duration span) {
             if (!(share > 0 && share <= 1) || warmAfter.isNegative() || !(limit >= 1) || span.isNegative()) {
-                throw new IllegalArgumentException("slowStart: a share above 0 and at most 1, times not negative"
-                        + " and a limit of at least 1 are needed");
+                throw new IllegalArgumentException("slowStart: needs a share above 0 and at most 1, durations"
+                        + " that are not negative and a limit of at least 1");
             }
             slowStartShare = share;
-            slowStartFor = warmAfter;
+            slowStartDuration = warmAfter;
             slowStartLimit = limit;
             slowStartSpan = span;
             return this;
         }
 
-        /** For random numbers, so that a run can be repeated. */
+        /** Sets the seed of the random numbers, so that a run can be reproduced. */
         public Builder<Q, R> seed(long number) {
             seed = number;
             return this;
         }
 
-        /** Starts the balancer on a thread of its own; without a type an {@link IllegalArgumentException}. */
+        /** Starts the balancer on a thread of its own; throws {@link IllegalArgumentException} without a job type. */
         public Balancer<Q, R> build() {
             if (types.isEmpty()) {
-                throw new IllegalArgumentException("type: at least one job type is needed");
+                throw new IllegalArgumentException("type: at least one job type is required");
             }
             return new Balancer<>(this);
         }
     }
 
-    // ---- The host's calls
+    // ---- Public methods, called from any thread
 
-    /** A job of the type, given up after its usual deadline. */
+    /** Dispatches a job of a type with the type's own deadline. */
     public CompletableFuture<Outcome<R>> dispatch(String type, Q job) {
         return dispatch(type, job, null, null);
     }
 
     /**
-     * Takes a job on. The future gets one outcome, on the executor; cancelling it gives the job up, and what
-     * runs is cancelled where the sender can.
+     * Dispatches a job. The executor completes the future with exactly one outcome. Cancelling the future gives up
+     * the job and cancels its running attempts if the sender supports that.
      *
-     * @param deadline how long the host will wait; null for the type's own
-     * @param progress told the target and share done, on the executor; null for none
-     * @throws IllegalArgumentException for a type that is not known, or a deadline that is not above 0
+     * @param deadline how long the host waits for the outcome; null for the type's own deadline
+     * @param progress called on the executor with the target and the share done; null for none
+     * @throws IllegalArgumentException for an unknown type or a deadline that is not above 0
      */
     public CompletableFuture<Outcome<R>> dispatch(
             String type, Q job, Duration deadline, BiConsumer<Target, Double> progress) {
@@ -344,32 +352,32 @@
         if (budget.isNegative() || budget.isZero()) {
             throw new IllegalArgumentException("deadline: must be above 0, not " + budget);
         }
-        Dispatched d = new Dispatched(job, progress);
+        PendingDispatch dispatch = new PendingDispatch(job, progress);
         if (closing) {
-            d.complete(new Outcome.Refused<>(Optional.empty(), CLOSED));
-            return d;
+            dispatch.complete(new Outcome.Refused<>(Optional.empty(), CLOSED));
+            return dispatch;
         }
         long at = loop.now();
-        loop.post(() -> d.begin(index, budget.toNanos() - (loop.now() - at)));
-        if (closed.isDone()) { // the loop ended meanwhile, and nobody runs what was posted
-            d.complete(new Outcome.Refused<>(Optional.empty(), CLOSED));
+        loop.post(() -> dispatch.begin(index, budget.toNanos() - (loop.now() - at)));
+        if (closed.isDone()) { // the loop has ended meanwhile and does not run the posted task
+            dispatch.complete(new Outcome.Refused<>(Optional.empty(), CLOSED));
         }
-        return d;
+        return dispatch;
     }
 
-    /** Replaces the targets. What is not listed, or drains, gets nothing new once the loop has this. */
-    public void targets(Collection<Target> now) {
-        List<Target> copy = List.copyOf(now);
+    /** Replaces the targets. Unlisted and draining targets get no new jobs once the loop has applied the list. */
+    public void targets(Collection<Target> newTargets) {
+        List<Target> copy = List.copyOf(newTargets);
         Set<String> ids = new HashSet<>();
         copy.forEach(t -> {
             if (!ids.add(t.id())) {
-                throw new IllegalArgumentException("targets: " + t.id() + " is there twice");
+                throw new IllegalArgumentException("targets: " + t.id() + " is listed twice");
             }
         });
-        loop.post(() -> list(copy));
+        loop.post(() -> updateTargets(copy));
     }
 
-    /** Counts as of a moment, as one line of JSON. */
+    /** Returns a snapshot of the counters as one line of JSON. */
     public CompletableFuture<String> figures() {
         CompletableFuture<String> line = new CompletableFuture<>();
         loop.post(() -> line.complete(counters.toString()));
@@ -379,25 +387,25 @@
         return line;
     }
 
-    /** {@link #close(Duration)} with ten seconds. */
+    /** Closes the balancer as {@link #close(Duration)} does, with a timeout of ten seconds. */
     @Override
     public void close() {
-        close(PATIENCE);
+        close(DEFAULT_CLOSE_TIMEOUT);
     }
 
     /**
-     * Takes nothing new, waits for what is out, and answers the rest when the time is over. Blocks until
-     * then; a second call waits for the first. Not to be called from a sender or an outcome's own thread of a
-     * small pool.
+     * Accepts no new jobs and waits for the open ones; jobs that are still open at the timeout end as failed or
+     * refused. The call blocks until then, and a second call waits for the first. Do not call it from a sender or
+     * from a stage of an outcome on a small pool: it would block a thread that the open jobs need.
      *
-     * @return whether all ended by themselves
+     * @return whether all jobs ended before the timeout
      */
-    public boolean close(Duration patience) {
-        long by = loop.now() + Math.max(0, patience.toNanos());
+    public boolean close(Duration timeout) {
+        long deadline = loop.now() + Math.max(0, timeout.toNanos());
         synchronized (closed) {
             if (!closing) {
                 closing = true;
-                loop.post(() -> drain(by));
+                loop.post(() -> drain(deadline));
             }
         }
         boolean all = closed.join();
@@ -413,13 +421,13 @@
 
     // ---- On the loop's thread
 
-    private void drain(long by) {
-        if (open.isEmpty() || loop.now() >= by) {
+    private void drain(long deadline) {
+        if (open.isEmpty() || loop.now() >= deadline) {
             boolean all = open.isEmpty();
-            for (Dispatched each : List.copyOf(open)) {
-                each.giveUp();
+            for (PendingDispatch each : List.copyOf(open)) {
+                each.abandon();
             }
-            // Who posts from here on sees that it is closed; what was posted before comes before this end.
+            // A caller that posts from here on sees the closed state; tasks posted before run before the loop stops.
             closed.complete(all);
             loop.post(() -> {
                 fallback.shutdown();
@@ -431,50 +439,50 @@
                 new Timer() {
                     @Override
                     protected void fire() {
-                        drain(by);
+                        drain(deadline);
                     }
                 },
-                loop.now() + CHECK_NS);
+                loop.now() + DRAIN_CHECK_INTERVAL_NS);
     }
 
-    private void list(List<Target> now) {
-        List<WorkerEndpoint> lines = new ArrayList<>();
+    private void updateTargets(List<Target> targets) {
+        List<WorkerEndpoint> endpoints = new ArrayList<>();
         Set<String> listed = new HashSet<>();
         long at = loop.now();
-        for (Target t : now) {
+        for (Target t : targets) {
             listed.add(t.id());
-            Place p = byId.computeIfAbsent(t.id(), id -> new Place(++lastNumber));
-            byNumber.put(p.number, p);
-            p.target = t;
-            long startedAt = p.startedAt(t.started(), at, listedAt);
-            lines.add(new WorkerEndpoint(
-                    p.number,
+            TargetState state = byId.computeIfAbsent(t.id(), id -> new TargetState(++lastNumber));
+            byNumber.put(state.number, state);
+            state.target = t;
+            long startedAt = state.startedAt(t.started(), at, lastUpdateAt);
+            endpoints.add(new WorkerEndpoint(
+                    state.number,
                     t.cell(),
                     t.zone(),
                     t.kind(),
                     startedAt,
                     t.draining() ? EndpointState.DRAINING : EndpointState.READY));
         }
-        engine.updateEndpoints(EndpointUpdate.SNAPSHOT, lines);
-        listedAt = at;
-        for (Target t : now) {
-            Place p = byId.get(t.id());
-            if (p.load() != null) {
-                engine.healthCheckCompleted(p.number, true, p.load());
+        engine.updateEndpoints(EndpointUpdate.SNAPSHOT, endpoints);
+        lastUpdateAt = at;
+        for (Target t : targets) {
+            TargetState state = byId.get(t.id());
+            if (state.load() != null) {
+                engine.healthCheckCompleted(state.number, true, state.load());
             }
         }
         byId.keySet().retainAll(listed);
-        byNumber.values().removeIf(p -> !listed.contains(p.target.id()) && p.out == 0);
+        byNumber.values().removeIf(state -> !listed.contains(state.target.id()) && state.inFlight == 0);
     }
 
-    /** Runs host code where it can do no harm; false where nobody would. */
-    private boolean run(Runnable hosts) {
+    /** Runs host code on the host's executor, off the loop's thread; returns false if the executor rejects it. */
+    private boolean runOnExecutor(Runnable hostCode) {
         try {
             executor.execute(() -> {
                 try {
-                    hosts.run();
+                    hostCode.run();
                 } catch (RuntimeException e) {
-                    LOG.log(Level.WARNING, "a callback of the host has thrown", e);
+                    LOG.log(Level.WARNING, "host callback failed", e);
                 }
             });
             return true;
@@ -483,8 +491,8 @@
         }
     }
 
-    /** A dispatch: the host's future, and the engine's ingress. */
-    private final class Dispatched extends CompletableFuture<Outcome<R>> implements Ingress {
+    /** An open dispatch: the future that the host holds and the ingress of the engine. */
+    private final class PendingDispatch extends CompletableFuture<Outcome<R>> implements Ingress {
         private final Q job;
         private final BiConsumer<Target, Double> progress;
         private Request request;
@@ -492,12 +500,12 @@
         private String servedBy;
         private int attempts;
 
-        Dispatched(Q job, BiConsumer<Target, Double> progress) {
+        PendingDispatch(Q job, BiConsumer<Target, Double> progress) {
             this.job = job;
             this.progress = progress;
         }
 
-        /** Dependent stages are plain futures: cancelling one of them must not take the dispatch along. */
+        /** Returns a plain future for dependent stages: cancelling one of them must not cancel the dispatch. */
         @Override
         public <U> CompletableFuture<U> newIncompleteFuture() {
             return new CompletableFuture<>();
@@ -515,7 +523,8 @@
                 return;
             }
             open.add(this);
-            request = engine.submit(Long.toString(++lastName), new Job(0, type, budgetNs, 0, 1, 0, true), this, this);
+            request = engine.submit(
+                    Long.toString(++lastRequestId), new Job(0, type, budgetNs, 0, 1, 0, true), this, this);
         }
 
         @Override
@@ -531,8 +540,8 @@
             return first;
         }
 
-        /** The balancer closes: what may have run has failed. */
-        void giveUp() {
+        /** Ends the dispatch when the balancer closes: as failed if it may have run, as refused otherwise. */
+        void abandon() {
             boolean begun = attempts > 0;
             end(begun ? new Outcome.Failed<>(false, CLOSED) : new Outcome.Refused<>(Optional.empty(), CLOSED));
             engine.clientDisconnected(request);
@@ -544,9 +553,12 @@
             }
         }
 
-        /** Not on the loop's thread, whatever the host's executor says: what hangs on it may block. */
+        /**
+         * Completes the future off the loop's thread, even if the host's executor rejects it, since dependent stages
+         * may block.
+         */
         private void deliver(Outcome<R> outcome) {
-            if (!Balancer.this.run(() -> complete(outcome))) {
+            if (!Balancer.this.runOnExecutor(() -> complete(outcome))) {
                 fallback.execute(() -> complete(outcome));
             }
         }
@@ -565,7 +577,7 @@
 
         @Override
         public void failed(Request r, String why) {
-            if (attempts == 0) { // its time ran out between two looks of the module, but it never ran
+            if (attempts == 0) { // the deadline passed between two checks of the dispatcher, before the job ran
                 shed(r, retryAfterNs);
                 return;
             }
@@ -573,23 +585,23 @@
         }
     }
 
-    /** The engine's way to targets: the host's sender. */
-    private final class ToSender implements Egress {
+    /** The engine's egress, which passes attempts to the host's sender. */
+    private final class SenderEgress implements Egress {
         @Override
         @SuppressWarnings("unchecked")
         public void send(Attempt attempt) {
-            Place place = byNumber.get(attempt.target);
-            if (place == null || !engine.routeTable().acceptsNewWork(attempt.target)) {
+            TargetState state = byNumber.get(attempt.target);
+            if (state == null || !engine.routeTable().acceptsNewWork(attempt.target)) {
                 engine.attemptEnded(attempt, beechseam.dispatch.Outcome.NOT_SENT, null, null);
                 return;
             }
-            Try sending = new Try((Dispatched) attempt.request.message, attempt, place);
+            SenderAttempt sending = new SenderAttempt((PendingDispatch) attempt.request.message, attempt, state);
             attempt.exchange = sending;
-            place.out++;
-            sending.of.attempts++;
+            state.inFlight++;
+            sending.dispatch.attempts++;
             attempt.begun();
-            if (!run(sending::send)) {
-                sending.of.attempts--;
+            if (!runOnExecutor(sending::send)) {
+                sending.dispatch.attempts--;
                 sending.end(beechseam.dispatch.Outcome.NOT_SENT, null);
             }
         }
@@ -598,55 +610,55 @@
         @SuppressWarnings("unchecked")
         public void cancel(Attempt attempt) {
             if (attempt.exchange != null) {
-                ((Try) attempt.exchange).cancel();
+                ((SenderAttempt) attempt.exchange).cancel();
             }
         }
 
         @Override
         public void healthCheck(long target) {
-            Place place = byNumber.get(target);
-            engine.healthCheckCompleted(target, place != null, place == null ? null : place.load());
+            TargetState state = byNumber.get(target);
+            engine.healthCheckCompleted(target, state != null, state == null ? null : state.load());
         }
     }
 
-    /** One attempt, as the sender sees it. */
-    private final class Try implements Sender.Attempt<Q> {
-        private final Dispatched of;
+    /** One attempt, as the sender gets it. */
+    private final class SenderAttempt implements Sender.Attempt<Q> {
+        private final PendingDispatch dispatch;
         private final Attempt attempt;
-        private final Place place;
+        private final TargetState state;
         private final Target target;
         private final int number;
         private final List<Runnable> onCancel = new ArrayList<>(1);
         private boolean cancelled;
-        private boolean over;
+        private boolean ended;
 
-        Try(Dispatched of, Attempt attempt, Place place) {
-            this.of = of;
+        SenderAttempt(PendingDispatch dispatch, Attempt attempt, TargetState state) {
+            this.dispatch = dispatch;
             this.attempt = attempt;
-            this.place = place;
-            target = place.target;
+            this.state = state;
+            target = state.target;
             number = attempt.number + 1;
         }
 
-        /** On the executor. */
+        /** Calls the host's sender; runs on the executor. */
         void send() {
             CompletionStage<R> stage;
             try {
-                stage = Objects.requireNonNull(sender.send(this), "the sender gave no stage");
+                stage = Objects.requireNonNull(sender.send(this), "the sender returned no stage");
             } catch (Exception e) {
-                said(null, e);
+                sendCompleted(null, e);
                 return;
             }
-            stage.whenComplete(this::said);
+            stage.whenComplete(this::sendCompleted);
         }
 
-        private void said(R value, Throwable wrong) {
+        private void sendCompleted(R value, Throwable failure) {
             Throwable cause =
-                    wrong instanceof CompletionException && wrong.getCause() != null ? wrong.getCause() : wrong;
+                    failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
             loop.post(() -> {
-                if (cause == null && of.servedBy == null && !attempt.hasEnded()) {
-                    of.value = value;
-                    of.servedBy = target.id();
+                if (cause == null && dispatch.servedBy == null && !attempt.hasEnded()) {
+                    dispatch.value = value;
+                    dispatch.servedBy = target.id();
                 }
                 end(
                         cause == null
@@ -660,19 +672,22 @@
             });
         }
 
-        /** On the loop's thread; once, also when nobody waits any more: the target is free only now. */
+        /**
+         * Ends the attempt once, on the loop's thread. A cancelled attempt ends here too, since its slot at the
+         * target is free only now.
+         */
         void end(beechseam.dispatch.Outcome outcome, Throwable cause) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
-            place.out--;
+            ended = true;
+            state.inFlight--;
             if (cause != null && !(cause instanceof NeverRanException)) {
-                LOG.log(Level.DEBUG, "an attempt at " + target.id() + " has failed", cause);
+                LOG.log(Level.DEBUG, "attempt at target " + target.id() + " failed", cause);
             }
-            engine.attemptEnded(attempt, outcome, null, place.load());
-            if (place.out == 0 && byId.get(target.id()) != place) {
-                byNumber.remove(place.number);
+            engine.attemptEnded(attempt, outcome, null, state.load());
+            if (state.inFlight == 0 && byId.get(target.id()) != state) {
+                byNumber.remove(state.number);
             }
         }
 
@@ -683,12 +698,12 @@
                 actions = List.copyOf(onCancel);
                 onCancel.clear();
             }
-            actions.forEach(Balancer.this::run);
+            actions.forEach(Balancer.this::runOnExecutor);
         }
 
         @Override
         public Q job() {
-            return of.job;
+            return dispatch.job;
         }
 
         @Override
@@ -718,8 +733,8 @@
             }
             loop.post(() -> {
                 engine.attemptProgressed(attempt, share);
-                if (of.progress != null && !attempt.hasEnded() && !of.isDone()) {
-                    run(() -> of.progress.accept(target, share));
+                if (dispatch.progress != null && !attempt.hasEnded() && !dispatch.isDone()) {
+                    runOnExecutor(() -> dispatch.progress.accept(target, share));
                 }
             });
         }
@@ -739,7 +754,7 @@
                     return;
                 }
             }
-            run(action);
+            runOnExecutor(action);
         }
     }
 }
--- a/src/main/java/beechseam/library/NeverRanException.java
+++ b/src/main/java/beechseam/library/NeverRanException.java
@@ -1,15 +1,15 @@
 package beechseam.library;
 
 /**
- * A sender's promise that the job did not begin at that target: it may be sent elsewhere whatever a repeat of
- * it does. A sender that cannot promise it must not use it, since the rules on repeats rest on this type.
+ * Signals that a job certainly did not begin at a target, so that it may be sent to another one even if it is not
+ * idempotent. A sender that is not certain must not throw it, since the protection against repeats relies on it.
  */
 public final class NeverRanException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Why it did not begin. */
+    /** The reason why a job did not begin. */
     public enum Reason {
-        /** The target answered that it takes no more. */
+        /** The target answered that it accepts no more jobs. */
         FULL,
         /** The target could not be reached. */
         UNREACHABLE
@@ -17,19 +17,19 @@
 
     private final Reason reason;
 
-    /** The attempt certainly did not run; the message is for the log. */
+    /** Creates the exception with a message for the log. */
     public NeverRanException(Reason reason, String message) {
         super(message);
         this.reason = reason;
     }
 
-    /** The same with what caused it, or null. */
+    /** Creates the exception with a message for the log and a cause, which may be null. */
     public NeverRanException(Reason reason, String message, Throwable cause) {
         super(message, cause);
         this.reason = reason;
     }
 
-    /** Why it did not run; never null. */
+    /** Returns the reason why the job did not begin; never null. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/beechseam/library/Outcome.java
+++ b/src/main/java/beechseam/library/Outcome.java
@@ -4,33 +4,37 @@
 import java.util.Optional;
 
 /**
- * How a dispatch ended: one of these, once.
+ * The result of a dispatch: each dispatch ends with exactly one of these.
  *
- * @param <R> what targets give
+ * @param <R> the result that targets return
  */
 public sealed interface Outcome<R> {
     /**
-     * A target has done it; {@code target} is its id, {@code attempts} counts all that were begun, from 1.
+     * A target has run the job.
+     *
+     * @param value    the result
+     * @param target   the id of the target
+     * @param attempts the number of attempts that were begun, at least 1
      */
     record Served<R>(R value, String target, int attempts) implements Outcome<R> {}
 
     /**
-     * Not done, and trying again is harmless.
+     * The job was not run, so that trying again is harmless.
      *
-     * @param retryAfter when to come back; empty without advice
-     * @param why        in words
+     * @param retryAfter the advised wait before the next try; empty without advice
+     * @param why        the reason, as text for people
      */
     record Refused<R>(Optional<Duration> retryAfter, String why) implements Outcome<R> {}
 
     /**
-     * Not done, or done and nobody knows.
+     * The job was not completed, or it may have run without a known result.
      *
-     * @param late whether its time ran out
-     * @param why  in words
+     * @param late whether the deadline passed
+     * @param why  the reason, as text for people
      */
     record Failed<R>(boolean late, String why) implements Outcome<R> {}
 
-    /** Whether it is {@link Served}. */
+    /** Returns whether this is {@link Served}. */
     default boolean served() {
         return this instanceof Served;
     }
--- a/src/main/java/beechseam/library/Sender.java
+++ b/src/main/java/beechseam/library/Sender.java
@@ -4,45 +4,49 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Takes a job to a target; the host's own.
+ * Sends a job to a target. The host application implements it.
  *
- * @param <Q> what a job carries
- * @param <R> what targets give
+ * @param <Q> the payload of a job
+ * @param <R> the result that targets return
  */
 @FunctionalInterface
 public interface Sender<Q, R> {
-    /** One attempt at a job, at one target. All methods may be called from any thread. */
+    /** One attempt to run a job at one target. All methods may be called from any thread. */
     interface Attempt<Q> {
-        /** What the job carries. */
+        /** Returns the payload of the job. */
         Q job();
 
-        /** Where it is to be sent. */
+        /** Returns the target to send the job to. */
         Target target();
 
-        /** From 1. */
+        /** Returns the number of this attempt at the job, counted from 1. */
         int number();
 
-        /** Time until nobody waits any more; never negative. */
+        /** Returns the time left until the job's deadline; never negative. */
         Duration remaining();
 
-        /** The job has left the target's queue and runs. Optional, and better told: it shows who is slow. */
+        /**
+         * Reports that the job has left the target's queue and runs. The call is optional, but it lets the
+         * balancer tell a slow target from a long queue.
+         */
         void started();
 
-        /** How much of it is done, from 0 to 1. Optional. */
+        /** Reports the share of the job that is done, from 0 to 1. The call is optional. */
         void progress(double share);
 
-        /** Whether nobody waits for this attempt any more. */
+        /** Returns whether this attempt was cancelled, so that its result is no longer used. */
         boolean cancelled();
 
-        /** Run once if the attempt is cancelled, at once if it has been; on the executor. */
+        /** Runs an action once on the executor when the attempt is cancelled, or at once if it already is. */
         void onCancel(Runnable action);
     }
 
     /**
-     * Sends it, on the balancer's executor. The stage's value serves the job. A {@link NeverRanException}
-     * says that it did not begin there; any other exception, one thrown here too, that it may have.
+     * Sends the job; the balancer calls this on its executor. The value of the returned stage is the result of
+     * the job. A {@link NeverRanException} means that the job did not begin at the target; any other exception,
+     * whether thrown here or by the stage, means that it may have begun.
      *
-     * @return never null
+     * @return the stage of the attempt; never null
      */
     CompletionStage<R> send(Attempt<Q> attempt) throws Exception;
 }
--- a/src/main/java/beechseam/servlet/BalancerFilter.java
+++ b/src/main/java/beechseam/servlet/BalancerFilter.java
@@ -22,56 +22,56 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Requests that the routing names as jobs go through a balancer, asynchronously; all others go on along the
- * chain. A container's thread only reads the request and hands it over. Whoever is first answers: the
- * balancer, or the container when its own time-out fires; what comes later is dropped, and the job is given
- * up.
+ * Servlet filter that dispatches requests through a balancer asynchronously, if the routing maps them to a job
+ * type; all other requests continue along the chain. The container's thread only reads the request and dispatches
+ * it. Either the balancer answers, or the container when its own timeout fires first: the job is then pending up
+ * and a later outcome is dropped.
  *
- * @param <Q> what a job carries
- * @param <R> what targets give
+ * @param <Q> the payload of a job
+ * @param <R> the result that targets return
  */
 public final class BalancerFilter<Q, R> implements Filter {
     private static final Logger LOG = System.getLogger(BalancerFilter.class.getName());
     /**
-     * The container waits so much longer than the balancer, so that as a rule it is the balancer that
-     * answers.
+     * Time that the container waits on top of the deadline, so that normally the balancer answers before the
+     * container's timeout fires.
      */
-    private static final Duration GRACE = Duration.ofSeconds(1);
+    private static final Duration CONTAINER_GRACE = Duration.ofSeconds(1);
 
-    /** How an application maps its requests to jobs, and what targets give to answers. */
+    /** Maps the requests of an application to jobs, and the results of targets to responses. */
     public interface Routing<Q, R> {
-        /** The type of job that the request is, or null to let it pass. */
+        /** Returns the job type of the request, or null to pass the request along the chain. */
         String type(HttpServletRequest request);
 
-        /** How long its client will wait; null for the type's own deadline. */
+        /** Returns how long the client waits; null for the deadline of the job type. */
         default Duration deadline(HttpServletRequest request) {
             return null;
         }
 
-        /** What the balancer's sender is to send for it. */
+        /** Returns the payload that the balancer's sender sends for the request. */
         Q job(HttpServletRequest request, byte[] body) throws IOException;
 
-        /** Writes the answer of a job that was served. */
+        /** Writes the response for the result of a served job. */
         void answer(R value, HttpServletResponse response) throws IOException;
     }
 
     /**
-     * Status codes of answers that are none of a target.
+     * Status codes of responses that the filter gives without a result from a target.
      *
-     * @param refused it may come again; {@code Retry-After} goes along where the balancer advises
-     * @param failed  it may have run
-     * @param late    its time ran out
-     * @param large   its body is over the bound
+     * @param refused the job did not run and may be tried again; {@code Retry-After} is set if a wait is advised
+     * @param failed  the job may have run
+     * @param late    the deadline passed
+     * @param large   the request body is larger than the limit
      */
     public record Statuses(int refused, int failed, int late, int large) {
-        /** 503, 502, 504 and 413. */
+        /** The default status codes: 503, 502, 504 and 413. */
         public static final Statuses USUAL = new Statuses(503, 502, 504, 413);
 
-        /** Checks that each is from 400 to 599; else an {@link IllegalArgumentException}. */
+        /** Throws {@link IllegalArgumentException} unless each status is from 400 to 599. */
         public Statuses {
             for (int each : new int[] {refused, failed, late, large}) {
                 if (each < 400 || each > 599) {
-                    throw new IllegalArgumentException("a status from 400 to 599 is needed, not " + each);
+                    throw new IllegalArgumentException("status must be from 400 to 599, not " + each);
                 }
             }
         }
@@ -84,14 +84,17 @@
     private final Duration longest;
 
     /**
-     * With the usual statuses, bodies of 64 KiB at most, and a minute for what the container waits at most.
+     * Creates a filter with the default status codes, a limit of 64 KiB for request bodies and a container wait of
+     * one minute where the routing names no deadline.
      */
     public BalancerFilter(Balancer<Q, R> balancer, Routing<Q, R> routing) {
         this(balancer, routing, Statuses.USUAL, 64 * 1024, Duration.ofMinutes(1));
     }
 
     /**
-     * @param mostBody bytes of a body at most
+     * Creates a filter.
+     *
+     * @param mostBody the maximum size of a request body in bytes
      * @param longest  how long the container waits where the routing names no deadline
      */
     public BalancerFilter(
@@ -123,13 +126,14 @@
         Duration deadline = routing.deadline(http);
         Q job = routing.job(http, body);
         AsyncContext context = http.startAsync(request, response);
-        context.setTimeout((deadline == null ? longest : deadline).plus(GRACE).toMillis());
+        context.setTimeout(
+                (deadline == null ? longest : deadline).plus(CONTAINER_GRACE).toMillis());
         Exchange exchange = new Exchange(context);
         context.addListener(exchange);
         exchange.dispatched(balancer.dispatch(type, job, deadline, null));
     }
 
-    /** One request: the balancer answers it, or the container ends it first. */
+    /** An open request, which either the balancer answers or the container ends first. */
     private final class Exchange implements AsyncListener {
         private final AsyncContext context;
         private final AtomicBoolean answered = new AtomicBoolean();
@@ -139,41 +143,41 @@
             this.context = context;
         }
 
-        void dispatched(CompletableFuture<Outcome<R>> given) {
-            future = given;
-            given.thenAccept(this::ended);
+        void dispatched(CompletableFuture<Outcome<R>> pending) {
+            future = pending;
+            pending.thenAccept(this::ended);
             if (answered.get()) {
-                given.cancel(true);
+                pending.cancel(true);
             }
         }
 
         private void ended(Outcome<R> outcome) {
             if (!answered.compareAndSet(false, true)) {
-                return; // the container was first
+                return; // the container has already ended the request
             }
             HttpServletResponse response = (HttpServletResponse) context.getResponse();
             try {
                 if (outcome instanceof Outcome.Served<R> s) {
                     routing.answer(s.value(), response);
                 } else if (outcome instanceof Outcome.Refused<R> r) {
-                    // Whole seconds: clients of the open web know no others.
+                    // Retry-After takes whole seconds only, so the wait is rounded up.
                     r.retryAfter()
                             .ifPresent(pause -> response.setHeader(
                                     "Retry-After",
                                     Long.toString(Math.max(
                                             1, pause.plusNanos(999_999_999L).toSeconds()))));
-                    plain(response, statuses.refused(), r.why() + "; trying again is harmless");
+                    writeText(response, statuses.refused(), r.why() + "; trying again is harmless");
                 } else if (outcome instanceof Outcome.Failed<R> f) {
-                    plain(response, f.late() ? statuses.late() : statuses.failed(), f.why());
+                    writeText(response, f.late() ? statuses.late() : statuses.failed(), f.why());
                 }
             } catch (IOException | RuntimeException e) {
-                LOG.log(Level.DEBUG, "the client has gone, or its answer could not be written", e);
+                LOG.log(Level.DEBUG, "response not written: the client disconnected or the routing failed", e);
             } finally {
                 context.complete();
             }
         }
 
-        private void plain(HttpServletResponse response, int status, String text) throws IOException {
+        private void writeText(HttpServletResponse response, int status, String text) throws IOException {
             byte[] body = (text + "\n").getBytes(StandardCharsets.UTF_8);
             response.setStatus(status);
             response.setContentType("text/plain;charset=utf-8");
@@ -181,23 +185,23 @@
             response.getOutputStream().write(body);
         }
 
-        /** The client or the container has ended it: true for the first word on it. */
-        private boolean over() {
+        /** Gives up the job after the client or the container ended the request; returns true on the first end. */
+        private boolean abandon() {
             boolean first = answered.compareAndSet(false, true);
-            CompletableFuture<Outcome<R>> given = future;
-            if (first && given != null) {
-                given.cancel(true);
+            CompletableFuture<Outcome<R>> pending = future;
+            if (first && pending != null) {
+                pending.cancel(true);
             }
             return first;
         }
 
         @Override
         public void onTimeout(AsyncEvent event) {
-            if (over()) { // the host's own time-out, before ours: it is still owed an answer
+            if (abandon()) { // the container's timeout fired first, so the client still needs an answer
                 try {
-                    plain((HttpServletResponse) context.getResponse(), statuses.late(), "no answer in time");
+                    writeText((HttpServletResponse) context.getResponse(), statuses.late(), "no answer in time");
                 } catch (IOException | RuntimeException e) {
-                    LOG.log(Level.DEBUG, "the client has gone", e);
+                    LOG.log(Level.DEBUG, "timeout response not written: the client disconnected", e);
                 }
                 context.complete();
             }
@@ -205,17 +209,17 @@
 
         @Override
         public void onComplete(AsyncEvent event) {
-            over();
+            abandon();
         }
 
         @Override
         public void onError(AsyncEvent event) {
-            over();
+            abandon();
         }
 
         @Override
         public void onStartAsync(AsyncEvent event) {
-            // Another cycle of the same request is none of ours.
+            // Another asynchronous cycle of the same request does not concern this filter.
         }
     }
 }
--- a/src/main/java/beechseam/spring/BalancedCalls.java
+++ b/src/main/java/beechseam/spring/BalancedCalls.java
@@ -27,39 +27,41 @@
 import org.springframework.http.client.support.HttpRequestWrapper;
 
 /**
- * Balances the calls of a RestClient or RestTemplate: a request whose host the routing knows as a job type
- * goes to the target that the balancer chooses; its address takes the place of host and port. The calling
- * thread waits, as it would without; attempts run on the balancer's executor. Refused becomes an answer of
- * 503 with Retry-After, failed and late ones of 502 and 504; they never came from a target, and their header
- * {@code X-Balancer} says so.
+ * Interceptor that balances the calls of a RestClient or RestTemplate. A request that the routing maps to a job
+ * type goes to the target that the balancer chooses: the address of the target replaces the host and port of the
+ * URI. The calling thread blocks as in a plain call; attempts run on the balancer's executor. A refused job
+ * becomes a 503 response with Retry-After, a failed job a 502 and a late one a 504. These responses do not come
+ * from a target and are marked with the header {@code X-Balancer}.
  *
- * <p>An answer of a target is passed on whatever its status, but for 503 with {@code X-Unprocessed: 1}, by
- * which the target says that it has not begun.
+ * <p>The response of a target is returned whatever its status, except 503 with {@code X-Unprocessed: 1}, by which
+ * the target states that it has not begun the job.
  */
 public final class BalancedCalls implements ClientHttpRequestInterceptor {
-    /** A call on its way: what the balancer's jobs are. */
+    /** An intercepted call: the payload of the balancer's jobs. */
     public record Call(HttpRequest request, byte[] body, ClientHttpRequestExecution execution) {}
 
     private final Balancer<Call, ClientHttpResponse> balancer;
     private final Function<HttpRequest, String> routing;
 
     /**
-     * @param balancer made with {@link #sender}
-     * @param routing  the type of job that a request is, or null to let it pass as it is
+     * Creates an interceptor.
+     *
+     * @param balancer a balancer that was built with {@link #sender}
+     * @param routing  returns the job type of a request, or null to execute the request unchanged
      */
     public BalancedCalls(Balancer<Call, ClientHttpResponse> balancer, Function<HttpRequest, String> routing) {
         this.balancer = Objects.requireNonNull(balancer, "balancer");
         this.routing = Objects.requireNonNull(routing, "routing");
     }
 
-    /** The sender for such a balancer; a target's id is its address, {@code host:port}. */
+    /** Returns the sender for the balancer; the id of each target is its address, {@code host:port}. */
     public static Sender<Call, ClientHttpResponse> sender() {
         return BalancedCalls::send;
     }
 
     private static CompletionStage<ClientHttpResponse> send(Sender.Attempt<Call> attempt) throws Exception {
         Call call = attempt.job();
-        URI to = at(call.request().getURI(), attempt.target().id());
+        URI targetUri = withAddress(call.request().getURI(), attempt.target().id());
         ClientHttpResponse response;
         try {
             response = call.execution()
@@ -67,26 +69,26 @@
                             new HttpRequestWrapper(call.request()) {
                                 @Override
                                 public URI getURI() {
-                                    return to;
+                                    return targetUri;
                                 }
                             },
                             call.body());
-        } catch (ConnectException e) { // nothing has gone out
-            throw new NeverRanException(NeverRanException.Reason.UNREACHABLE, "no connection to " + to, e);
+        } catch (ConnectException e) { // no part of the request was sent
+            throw new NeverRanException(NeverRanException.Reason.UNREACHABLE, "no connection to " + targetUri, e);
         }
         boolean unprocessed = "1".equals(response.getHeaders().getFirst("X-Unprocessed"));
         if (unprocessed && response.getStatusCode().value() == HttpStatus.SERVICE_UNAVAILABLE.value()) {
             response.close();
             throw new NeverRanException(
-                    NeverRanException.Reason.FULL, attempt.target().id() + " is full");
+                    NeverRanException.Reason.FULL, attempt.target().id() + " answered that it is full");
         }
-        if (attempt.cancelled()) { // nobody will read it
+        if (attempt.cancelled()) { // the caller no longer reads the response
             response.close();
         }
         return CompletableFuture.completedFuture(response);
     }
 
-    static URI at(URI uri, String address) throws URISyntaxException {
+    static URI withAddress(URI uri, String address) throws URISyntaxException {
         int colon = address.lastIndexOf(':');
         String host = colon < 0 ? address : address.substring(0, colon);
         int port = colon < 0 ? -1 : Integer.parseInt(address.substring(colon + 1));
@@ -109,7 +111,7 @@
         } catch (InterruptedException e) {
             future.cancel(true);
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while a balanced call was out", e);
+            throw new IOException("interrupted while waiting for the outcome of a balanced call", e);
         } catch (ExecutionException e) {
             throw new IOException(e.getCause());
         }
@@ -117,7 +119,7 @@
             return served.value();
         }
         if (outcome instanceof Outcome.Refused<ClientHttpResponse> refused) {
-            return new Answer(
+            return new BalancerResponse(
                     HttpStatus.SERVICE_UNAVAILABLE,
                     refused.why(),
                     refused.retryAfter()
@@ -125,17 +127,17 @@
                                     Math.max(1, pause.plusNanos(999_999_999L).toSeconds())));
         }
         Outcome.Failed<ClientHttpResponse> failed = (Outcome.Failed<ClientHttpResponse>) outcome;
-        return new Answer(
+        return new BalancerResponse(
                 failed.late() ? HttpStatus.GATEWAY_TIMEOUT : HttpStatus.BAD_GATEWAY, failed.why(), Optional.empty());
     }
 
-    /** One that no target gave. */
-    private static final class Answer implements ClientHttpResponse {
+    /** A response that the balancer gives without a target. */
+    private static final class BalancerResponse implements ClientHttpResponse {
         private final HttpStatus status;
         private final byte[] body;
         private final HttpHeaders headers = new HttpHeaders();
 
-        Answer(HttpStatus status, String why, Optional<Long> retryAfter) {
+        BalancerResponse(HttpStatus status, String why, Optional<Long> retryAfter) {
             this.status = status;
             body = (why + "\n").getBytes(StandardCharsets.UTF_8);
             headers.set("X-Balancer", "1");
@@ -165,7 +167,7 @@
 
         @Override
         public void close() {
-            // nothing is held
+            // no resources to release
         }
     }
 }
--- a/src/test/java/beechseam/library/BalancerTest.java
+++ b/src/test/java/beechseam/library/BalancerTest.java
@@ -23,41 +23,41 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The library's front door, with senders that do what real ones might. */
+/** Tests the public API of the balancer with senders that answer, fail, throw, block or never answer. */
 class BalancerTest {
-    private static final Duration LONG = Duration.ofSeconds(20);
-    private static final JobType SAFE = JobType.of("safe", LONG).idempotent();
-    private static final JobType ONCE = JobType.of("once", LONG);
+    private static final Duration TWENTY_SECONDS = Duration.ofSeconds(20);
+    private static final JobType IDEMPOTENT = JobType.of("safe", TWENTY_SECONDS).idempotent();
+    private static final JobType NON_IDEMPOTENT = JobType.of("once", TWENTY_SECONDS);
 
-    /** Attempts that wait for the test to end them. */
-    private final ConcurrentLinkedQueue<Held> held = new ConcurrentLinkedQueue<>();
+    /** Attempts that the test has yet to complete. */
+    private final ConcurrentLinkedQueue<PendingAttempt> pendingAttempts = new ConcurrentLinkedQueue<>();
 
     private Balancer<String, String> balancer;
 
-    private record Held(Sender.Attempt<String> attempt, CompletableFuture<String> answer) {}
+    private record PendingAttempt(Sender.Attempt<String> attempt, CompletableFuture<String> answer) {}
 
-    private CompletableFuture<String> hold(Sender.Attempt<String> attempt) {
+    private CompletableFuture<String> recordAttempt(Sender.Attempt<String> attempt) {
         CompletableFuture<String> answer = new CompletableFuture<>();
-        held.add(new Held(attempt, answer));
+        pendingAttempts.add(new PendingAttempt(attempt, answer));
         return answer;
     }
 
-    private Balancer.Builder<String, String> holding() {
-        return Balancer.<String, String>builder(this::hold)
-                .type(SAFE)
-                .type(ONCE)
+    private Balancer.Builder<String, String> manualBalancer() {
+        return Balancer.<String, String>builder(this::recordAttempt)
+                .type(IDEMPOTENT)
+                .type(NON_IDEMPOTENT)
                 .seed(7)
                 .targets(List.of(Target.of("a"), Target.of("b")));
     }
 
-    private Held next() throws Exception {
+    private PendingAttempt nextAttempt() throws Exception {
         for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; Thread.sleep(1)) {
-            Held h = held.poll();
-            if (h != null) {
-                return h;
+            PendingAttempt pending = pendingAttempts.poll();
+            if (pending != null) {
+                return pending;
             }
         }
-        return fail("no attempt came");
+        return fail("no attempt was sent within 20 s");
     }
 
     private static <T> T get(CompletableFuture<T> future) throws Exception {
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void tenLinesAreEnough() throws Exception {
+    void minimalConfigurationServesAJob() throws Exception {
         balancer = Balancer.<String, String>builder(a -> CompletableFuture.completedFuture(a.job() + " done"))
                 .type(JobType.of("mail", Duration.ofSeconds(5)))
                 .targets(List.of(Target.of("a")))
@@ -81,37 +81,37 @@
     }
 
     @Test
-    void aSafeJobThatFailsRunsElsewhereAndAnUnsafeOneDoesNot() throws Exception {
-        balancer = holding().build();
+    void failedIdempotentJobIsRetriedElsewhereAndNonIdempotentIsNot() throws Exception {
+        balancer = manualBalancer().build();
         var safe = balancer.dispatch("safe", "x");
-        Held first = next();
+        PendingAttempt first = nextAttempt();
         first.answer.completeExceptionally(new IllegalStateException("broken"));
-        Held second = next();
+        PendingAttempt second = nextAttempt();
         assertNotEquals(first.attempt.target(), second.attempt.target());
         assertEquals(2, second.attempt.number());
         second.answer.complete("y");
         assertEquals(new Served<>("y", second.attempt.target().id(), 2), get(safe));
         var once = balancer.dispatch("once", "x");
-        next().answer.completeExceptionally(new IllegalStateException("broken"));
+        nextAttempt().answer.completeExceptionally(new IllegalStateException("broken"));
         assertInstanceOf(Failed.class, get(once));
-        assertTrue(held.isEmpty());
+        assertTrue(pendingAttempts.isEmpty());
     }
 
     @Test
-    void whatNeverRanGoesElsewhereWhateverARepeatDoes() throws Exception {
-        balancer = holding().build();
+    void jobThatNeverRanIsRetriedElsewhereEvenIfNonIdempotent() throws Exception {
+        balancer = manualBalancer().build();
         var once = balancer.dispatch("once", "x");
-        Held first = next();
+        PendingAttempt first = nextAttempt();
         first.answer.completeExceptionally(new NeverRanException(NeverRanException.Reason.FULL, "full"));
-        Held second = next();
+        PendingAttempt second = nextAttempt();
         assertNotEquals(first.attempt.target(), second.attempt.target());
         second.answer.complete("y");
         assertTrue(get(once).served());
     }
 
     @Test
-    void nobodyCanDoIt() throws Exception {
-        balancer = Balancer.<String, String>builder(this::hold)
+    void dispatchWithoutTargetsIsRefused() throws Exception {
+        balancer = Balancer.<String, String>builder(this::recordAttempt)
                 .type(JobType.of("short", Duration.ofMillis(300)))
                 .retryAfter(Duration.ofMillis(1500))
                 .build();
@@ -120,20 +120,20 @@
     }
 
     @Test
-    void timeRunsOutWhileATargetHoldsIt() throws Exception {
-        balancer = holding().build();
+    void deadlinePassesWhileAnAttemptIsInFlight() throws Exception {
+        balancer = manualBalancer().build();
         long start = System.nanoTime();
         var late = balancer.dispatch("once", "x", Duration.ofMillis(300), null);
-        Held h = next();
+        PendingAttempt pending = nextAttempt();
         AtomicInteger cancelled = new AtomicInteger();
-        h.attempt.onCancel(cancelled::incrementAndGet);
+        pending.attempt.onCancel(cancelled::incrementAndGet);
         Outcome<String> outcome = get(late);
         assertTrue(outcome instanceof Failed<String> f && f.late(), outcome.toString());
         assertTrue(System.nanoTime() - start >= 200_000_000L);
-        h.answer.complete("too late");
+        pending.answer.complete("too late");
         assertEquals(outcome, get(late));
-        assertTrue(h.attempt.cancelled());
-        h.attempt.onCancel(cancelled::incrementAndGet);
+        assertTrue(pending.attempt.cancelled());
+        pending.attempt.onCancel(cancelled::incrementAndGet);
         for (int i = 0; i < 2000 && cancelled.get() < 2; i++) {
             Thread.sleep(5);
         }
@@ -141,40 +141,40 @@
     }
 
     @Test
-    void cancellingTheFutureGivesItUp() throws Exception {
-        balancer = holding().build();
+    void cancellingTheFutureCancelsTheAttempt() throws Exception {
+        balancer = manualBalancer().build();
         var given = balancer.dispatch("once", "x");
-        Held h = next();
-        CountDownLatch told = new CountDownLatch(1);
-        h.attempt.onCancel(told::countDown);
+        PendingAttempt pending = nextAttempt();
+        CountDownLatch cancelSeen = new CountDownLatch(1);
+        pending.attempt.onCancel(cancelSeen::countDown);
         var dependent = given.thenApply(Outcome::served);
         assertTrue(given.cancel(true));
-        assertTrue(told.await(20, TimeUnit.SECONDS), "the sender is told");
-        h.answer.complete("late");
+        assertTrue(cancelSeen.await(20, TimeUnit.SECONDS), "the sender is notified of the cancel");
+        pending.answer.complete("late");
         assertThrows(CancellationException.class, given::join);
         assertTrue(dependent.isCompletedExceptionally());
         assertTrue(get(balancer.figures()).contains("\"left\":1,"));
-        // A dependent stage is the host's own: cancelling it says nothing of the dispatch.
+        // Cancelling a dependent stage does not cancel the dispatch.
         var kept = balancer.dispatch("once", "x");
         kept.thenApply(o -> o).cancel(true);
-        next().answer.complete("y");
+        nextAttempt().answer.complete("y");
         assertTrue(get(kept).served());
     }
 
-    /** Whichever comes first: one end, and the balancer counts it once. */
+    /** A cancel races with the answer: the dispatch ends once and is counted once. */
     @Test
     void cancelRacesWithTheAnswer() throws Exception {
-        balancer = holding().build();
+        balancer = manualBalancer().build();
         for (int i = 0; i < 300; i++) {
             var racing = balancer.dispatch("safe", "x");
-            Held h = next();
+            PendingAttempt pending = nextAttempt();
             Thread canceller = new Thread(() -> racing.cancel(true));
             canceller.start();
-            h.answer.complete("y");
+            pending.answer.complete("y");
             canceller.join();
             assertTrue(racing.isDone() || get(racing).served());
         }
-        balancer.close(LONG);
+        balancer.close(TWENTY_SECONDS);
         String figures = get(balancer.figures());
         int served = figure(figures, "served");
         assertEquals(300, served + figure(figures, "left"), figures);
@@ -188,27 +188,27 @@
     }
 
     @Test
-    void anExecutorThatRefusesCostsNoOutcome() throws Exception {
+    void outcomeIsDeliveredIfTheExecutorRejects() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        balancer = holding()
+        balancer = manualBalancer()
                 .executor(task -> {
                     asked.incrementAndGet();
                     throw new RejectedExecutionException("exhausted");
                 })
                 .build();
         var safe = balancer.dispatch("safe", "x", Duration.ofSeconds(2), null);
-        assertInstanceOf(Refused.class, get(safe), "it never ran, so it may come again");
+        assertInstanceOf(Refused.class, get(safe), "the job never ran, so it may be tried again");
         assertTrue(asked.get() >= 2);
-        assertTrue(held.isEmpty());
+        assertTrue(pendingAttempts.isEmpty());
     }
 
-    /** Callbacks that block hold up the host's own pool alone; those that throw hold up nothing. */
+    /** Callbacks that block occupy only the host's pool, and callbacks that throw have no effect on the balancer. */
     @Test
     void callbacksThatBlockOrThrow() throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(2);
         CountDownLatch release = new CountDownLatch(1);
         try {
-            balancer = holding().executor(pool).build();
+            balancer = manualBalancer().executor(pool).build();
             var first = balancer.dispatch("safe", "1");
             first.thenAccept(o -> {
                 try {
@@ -217,17 +217,17 @@
                     Thread.currentThread().interrupt();
                 }
             });
-            next().answer.complete("y");
+            nextAttempt().answer.complete("y");
             get(first);
             for (int i = 0; i < 5; i++) {
-                assertTrue(get(balancer.figures()).startsWith("{"), "the loop goes on");
+                assertTrue(get(balancer.figures()).startsWith("{"), "the loop still runs");
                 var other = balancer.dispatch("safe", "2", null, (target, share) -> {
-                    throw new IllegalStateException("a listener that throws");
+                    throw new IllegalStateException("progress callback that throws");
                 });
-                Held h = next();
-                h.attempt.started();
-                h.attempt.progress(0.5);
-                h.answer.complete("z");
+                PendingAttempt pending = nextAttempt();
+                pending.attempt.started();
+                pending.attempt.progress(0.5);
+                pending.answer.complete("z");
                 assertTrue(get(other).served());
             }
         } finally {
@@ -237,14 +237,14 @@
     }
 
     @Test
-    void aSenderThatThrowsOrGivesNothing() throws Exception {
+    void senderThatThrowsOrReturnsNullFailsTheJob() throws Exception {
         balancer = Balancer.<String, String>builder(a -> {
                     if (a.job().equals("null")) {
                         return null;
                     }
                     throw new java.io.IOException("no route");
                 })
-                .type(ONCE)
+                .type(NON_IDEMPOTENT)
                 .targets(List.of(Target.of("a")))
                 .build();
         assertInstanceOf(Failed.class, get(balancer.dispatch("once", "null")));
@@ -252,45 +252,45 @@
     }
 
     @Test
-    void progressIsTold() throws Exception {
-        balancer = holding().build();
-        List<String> told = new ArrayList<>();
+    void progressIsReported() throws Exception {
+        balancer = manualBalancer().build();
+        List<String> reported = new ArrayList<>();
         CountDownLatch two = new CountDownLatch(2);
         var job = balancer.dispatch("safe", "x", null, (target, share) -> {
-            synchronized (told) {
-                told.add(target.id() + " " + share);
+            synchronized (reported) {
+                reported.add(target.id() + " " + share);
             }
             two.countDown();
         });
-        Held h = next();
-        h.attempt.started();
-        h.attempt.progress(0.25);
-        h.attempt.progress(0.5);
-        assertThrows(IllegalArgumentException.class, () -> h.attempt.progress(2));
+        PendingAttempt pending = nextAttempt();
+        pending.attempt.started();
+        pending.attempt.progress(0.25);
+        pending.attempt.progress(0.5);
+        assertThrows(IllegalArgumentException.class, () -> pending.attempt.progress(2));
         assertTrue(two.await(20, TimeUnit.SECONDS));
-        h.answer.complete("y");
+        pending.answer.complete("y");
         assertTrue(get(job).served());
-        synchronized (told) {
-            String id = h.attempt.target().id();
-            assertTrue(told.contains(id + " 0.25") && told.contains(id + " 0.5"), told.toString());
+        synchronized (reported) {
+            String id = pending.attempt.target().id();
+            assertTrue(reported.contains(id + " 0.25") && reported.contains(id + " 0.5"), reported.toString());
         }
     }
 
-    /** What runs at a target that drains or is gone runs on; nothing new goes there. */
+    /** Jobs in flight at a draining or removed target complete, and no new job is sent to it. */
     @Test
-    void targetsReplacedWhileJobsAreOut() throws Exception {
-        balancer = holding().build();
+    void targetsAreReplacedWhileJobsAreInFlight() throws Exception {
+        balancer = manualBalancer().build();
         var one = balancer.dispatch("once", "1");
         var two = balancer.dispatch("once", "2");
-        Held first = next();
-        Held second = next();
+        PendingAttempt first = nextAttempt();
+        PendingAttempt second = nextAttempt();
         assertNotEquals(first.attempt.target(), second.attempt.target());
         balancer.targets(List.of(first.attempt.target().drain(), Target.of("c")));
         for (int i = 0; i < 20; i++) {
             var later = balancer.dispatch("safe", "n");
-            Held h = next();
-            assertEquals("c", h.attempt.target().id());
-            h.answer.complete("y");
+            PendingAttempt pending = nextAttempt();
+            assertEquals("c", pending.attempt.target().id());
+            pending.answer.complete("y");
             assertTrue(get(later).served());
         }
         first.answer.complete("1");
@@ -299,15 +299,16 @@
         assertTrue(get(two).served());
         balancer.targets(List.of(Target.of("b")));
         var back = balancer.dispatch("once", "3");
-        assertEquals("b", next().attempt.target().id());
+        assertEquals("b", nextAttempt().attempt.target().id());
         back.cancel(true);
         assertThrows(IllegalArgumentException.class, () -> balancer.targets(List.of(Target.of("b"), Target.of("b"))));
     }
 
     @Test
-    void keyedRepeatsStayInTheirGroup() throws Exception {
-        JobType keyed = JobType.of("keyed", LONG).keyed(JobType.DeduplicationScope.CELL, Duration.ofSeconds(10));
-        balancer = Balancer.<String, String>builder(this::hold)
+    void keyedRepeatsStayInTheirDeduplicationScope() throws Exception {
+        JobType keyed =
+                JobType.of("keyed", TWENTY_SECONDS).keyed(JobType.DeduplicationScope.CELL, Duration.ofSeconds(10));
+        balancer = Balancer.<String, String>builder(this::recordAttempt)
                 .type(keyed)
                 .seed(1)
                 .targets(List.of(
@@ -317,10 +318,10 @@
                 .build();
         for (int i = 0; i < 4; i++) {
             var job = balancer.dispatch("keyed", "x");
-            Held first = next();
+            PendingAttempt first = nextAttempt();
             if (first.attempt.target().cell() == 1) {
                 first.answer.completeExceptionally(new IllegalStateException("lost"));
-                Held second = next();
+                PendingAttempt second = nextAttempt();
                 assertEquals(1, second.attempt.target().cell());
                 assertNotEquals(first.attempt.target(), second.attempt.target());
                 second.answer.complete("y");
@@ -330,19 +331,19 @@
             first.answer.complete("y");
             get(job);
         }
-        fail("no job went to the cell of two");
+        fail("no job was sent to the cell with two targets");
     }
 
     @Test
-    void theEndWaitsForWhatIsOutAndTakesNothingNew() throws Exception {
-        balancer = holding().build();
+    void closeWaitsForJobsInFlightAndRefusesNewOnes() throws Exception {
+        balancer = manualBalancer().build();
         var out = balancer.dispatch("once", "x");
-        Held h = next();
+        PendingAttempt pending = nextAttempt();
         List<Boolean> ends = new ArrayList<>();
         List<Thread> closers = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Thread t = new Thread(() -> {
-                boolean all = balancer.close(LONG);
+                boolean all = balancer.close(TWENTY_SECONDS);
                 synchronized (ends) {
                     ends.add(all);
                 }
@@ -351,10 +352,10 @@
             closers.add(t);
         }
         Outcome<String> refused;
-        do { // until one of the closers has got so far
+        do { // until one of the closing threads has marked the balancer as closed
             var late = balancer.dispatch("safe", "x");
             Thread.sleep(2);
-            Held taken = held.poll();
+            PendingAttempt taken = pendingAttempts.poll();
             if (taken != null) {
                 taken.answer.complete("y");
             }
@@ -362,9 +363,9 @@
         } while (refused.served());
         assertEquals(new Refused<String>(java.util.Optional.empty(), "the balancer is closed"), refused);
         synchronized (ends) {
-            assertTrue(ends.isEmpty(), "both wait for the job that is out");
+            assertTrue(ends.isEmpty(), "both calls wait for the job in flight");
         }
-        h.answer.complete("y");
+        pending.answer.complete("y");
         assertTrue(get(out).served());
         for (Thread t : closers) {
             t.join(20_000);
@@ -375,33 +376,33 @@
     }
 
     @Test
-    void theEndAnswersWhatIsLeft() throws Exception {
-        balancer = Balancer.<String, String>builder(this::hold)
-                .type(ONCE)
+    void closeFailsJobsStillOpenAtTheTimeout() throws Exception {
+        balancer = Balancer.<String, String>builder(this::recordAttempt)
+                .type(NON_IDEMPOTENT)
                 .targets(List.of(Target.of("a").withSlots(1)))
                 .build();
         var runs = balancer.dispatch("once", "x");
-        next();
+        nextAttempt();
         assertFalse(balancer.close(Duration.ofMillis(50)));
-        assertEquals(new Failed<String>(false, "the balancer is closed"), get(runs), "it may have run");
+        assertEquals(new Failed<String>(false, "the balancer is closed"), get(runs), "the job may have run");
     }
 
-    /** Each balancer leaves nothing behind, and two in one process do not touch. */
+    /** A closed balancer leaves no thread behind, and two balancers in one process are independent. */
     @Test
-    void noThreadIsLeft() throws Exception {
+    void closedBalancersLeaveNoThread() throws Exception {
         for (int i = 0; i < 50; i++) {
-            try (var one = holding().build();
-                    var two = holding().build()) {
+            try (var one = manualBalancer().build();
+                    var two = manualBalancer().build()) {
                 var job = one.dispatch("once", "1");
                 var other = two.dispatch("once", "2");
-                next().answer.complete("y");
-                next().answer.complete("z");
+                nextAttempt().answer.complete("y");
+                nextAttempt().answer.complete("z");
                 get(job);
                 get(other);
             }
         }
         for (int i = 0; i < 400 && threads() > 0; i++) {
-            Thread.sleep(10); // the thread that answered may be on its last step
+            Thread.sleep(10); // the thread that completed the last outcome may still be exiting
         }
         assertEquals(0, threads());
     }
@@ -412,8 +413,9 @@
                 .count();
     }
 
-    /** Eight threads, sixteen targets that serve, fail,
-     * refuse or are full: each dispatch has its one outcome. */
+    /**
+     * Eight threads dispatch to sixteen targets that serve, fail or are full: each dispatch has exactly one outcome.
+     */
     @Test
     void everyOutcomeIsAccountedFor() throws Exception {
         List<Target> targets = new ArrayList<>();
@@ -421,7 +423,7 @@
             targets.add(Target.of("t" + i).withSlots(4));
         }
         Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-        AtomicInteger twice = new AtomicInteger();
+        AtomicInteger repeatedRuns = new AtomicInteger();
         balancer = Balancer.<String, String>builder(a -> {
                     int pick = new Random(a.job().hashCode() * 31L + a.number()).nextInt(20);
                     if (pick == 0) {
@@ -429,14 +431,14 @@
                     }
                     if (runs.computeIfAbsent(a.job(), j -> new AtomicInteger()).incrementAndGet() > 1
                             && a.job().startsWith("once")) {
-                        twice.incrementAndGet();
+                        repeatedRuns.incrementAndGet();
                     }
                     return pick == 1
                             ? CompletableFuture.failedFuture(new IllegalStateException("failed"))
                             : CompletableFuture.completedFuture(a.job());
                 })
-                .type(SAFE)
-                .type(ONCE)
+                .type(IDEMPOTENT)
+                .type(NON_IDEMPOTENT)
                 .targets(targets)
                 .seed(3)
                 .build();
@@ -472,8 +474,8 @@
             t.join(60_000);
         }
         assertEquals(20_000, ends.values().stream().mapToInt(AtomicInteger::get).sum());
-        assertEquals(0, wrong.get(), "each has its own answer");
-        assertEquals(0, twice.get(), "an unsafe job ran twice");
+        assertEquals(0, wrong.get(), "a dispatch got the answer of another job");
+        assertEquals(0, repeatedRuns.get(), "a non-idempotent job ran twice");
         assertTrue(ends.get(Served.class).get() > 18_000, ends.toString());
         String figures = get(balancer.figures());
         assertEquals(20_000, figure(figures, "answered"), figures);
@@ -481,19 +483,20 @@
     }
 
     @Test
-    void whatIsWrongIsNamed() {
+    void invalidArgumentsAreRejected() {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> JobType.of("t", Duration.ZERO))
                 .getMessage()
                 .startsWith("job type t: deadline must be above 0"));
-        assertThrows(IllegalArgumentException.class, () -> SAFE.keyed(JobType.DeduplicationScope.ALL, Duration.ZERO));
-        assertThrows(IllegalArgumentException.class, () -> SAFE.priorityWeight(0, 0));
+        assertThrows(
+                IllegalArgumentException.class, () -> IDEMPOTENT.keyed(JobType.DeduplicationScope.ALL, Duration.ZERO));
+        assertThrows(IllegalArgumentException.class, () -> IDEMPOTENT.priorityWeight(0, 0));
         assertThrows(IllegalArgumentException.class, () -> Target.of("a").withSlots(-1));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Balancer.<String, String>builder(this::hold).build());
-        assertThrows(IllegalArgumentException.class, () -> holding().type(SAFE));
-        assertThrows(IllegalArgumentException.class, () -> holding().attempts(0));
-        balancer = holding().build();
+                () -> Balancer.<String, String>builder(this::recordAttempt).build());
+        assertThrows(IllegalArgumentException.class, () -> manualBalancer().type(IDEMPOTENT));
+        assertThrows(IllegalArgumentException.class, () -> manualBalancer().attempts(0));
+        balancer = manualBalancer().build();
         assertTrue(assertThrows(IllegalArgumentException.class, () -> balancer.dispatch("odd", "x"))
                 .getMessage()
                 .startsWith("no job type is called odd"));
--- a/src/test/java/beechseam/servlet/BalancerFilterTest.java
+++ b/src/test/java/beechseam/servlet/BalancerFilterTest.java
@@ -22,9 +22,9 @@
 import org.springframework.mock.web.MockHttpServletRequest;
 import org.springframework.mock.web.MockHttpServletResponse;
 
-/** The filter on Spring's mocks, before a balancer whose targets are played by the test. */
+/** Tests the filter on Spring's servlet mocks, with a balancer whose attempts the test completes. */
 class BalancerFilterTest {
-    private record Held(Sender.Attempt<String> attempt, CompletableFuture<String> answer) {}
+    private record PendingAttempt(Sender.Attempt<String> attempt, CompletableFuture<String> answer) {}
 
     private static final class Routes implements BalancerFilter.Routing<String, String> {
         @Override
@@ -51,10 +51,10 @@
         }
     }
 
-    private final LinkedBlockingQueue<Held> held = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<PendingAttempt> pendingAttempts = new LinkedBlockingQueue<>();
     private final Balancer<String, String> balancer = Balancer.<String, String>builder(a -> {
                 CompletableFuture<String> answer = new CompletableFuture<>();
-                held.add(new Held(a, answer));
+                pendingAttempts.add(new PendingAttempt(a, answer));
                 return answer;
             })
             .type(JobType.of("job", Duration.ofSeconds(20)))
@@ -81,58 +81,58 @@
         return request;
     }
 
-    /** The mock marks its context as completed by running its listeners; waits for that. */
-    private static void completed(MockHttpServletRequest request) throws Exception {
+    /** Waits until the mock has completed the asynchronous request. */
+    private static void awaitCompletion(MockHttpServletRequest request) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         MockAsyncContext context = (MockAsyncContext) request.getAsyncContext();
         context.addDispatchHandler(() -> done.complete(null));
         for (int i = 0; i < 4000 && request.isAsyncStarted(); i++) {
             Thread.sleep(5);
         }
-        assertFalse(request.isAsyncStarted(), "no answer");
+        assertFalse(request.isAsyncStarted(), "the request was not completed");
     }
 
-    private Held next() throws Exception {
-        Held h = held.poll(20, TimeUnit.SECONDS);
-        assertNotNull(h, "no attempt came");
-        return h;
+    private PendingAttempt nextAttempt() throws Exception {
+        PendingAttempt pending = pendingAttempts.poll(20, TimeUnit.SECONDS);
+        assertNotNull(pending, "no attempt was sent within 20 s");
+        return pending;
     }
 
     @Test
-    void aJobIsServedAndOthersPass() throws Exception {
+    void jobIsServedAndOtherRequestsPass() throws Exception {
         MockHttpServletRequest request = post("/job/1", 3, null);
-        Held h = next();
-        assertEquals("/job/1 xxx", h.attempt.job());
-        h.answer.complete("done");
-        completed(request);
+        PendingAttempt pending = nextAttempt();
+        assertEquals("/job/1 xxx", pending.attempt.job());
+        pending.answer.complete("done");
+        awaitCompletion(request);
         assertEquals(201, response.getStatus());
         assertEquals("done", response.getContentAsString());
         assertNull(chain.getRequest());
         post("/page", 0, null);
-        assertNotNull(chain.getRequest(), "what is no job goes along the chain");
+        assertNotNull(chain.getRequest(), "a request that is no job continues along the chain");
     }
 
     @Test
-    void whatIsTooLargeIsNotTaken() throws Exception {
+    void tooLargeBodyIsRejected() throws Exception {
         post("/job", 64 * 1024 + 1, null);
         assertEquals(413, response.getStatus());
-        assertTrue(held.isEmpty());
+        assertTrue(pendingAttempts.isEmpty());
     }
 
     @Test
-    void refusedFailedAndLateHaveTheirStatuses() throws Exception {
+    void refusedFailedAndLateJobsHaveTheirStatuses() throws Exception {
         MockHttpServletRequest request = post("/job", 1, null);
-        next().answer.completeExceptionally(new IllegalStateException("broken"));
-        completed(request);
+        nextAttempt().answer.completeExceptionally(new IllegalStateException("broken"));
+        awaitCompletion(request);
         assertEquals(502, response.getStatus());
-        balancer.targets(List.of(Target.of("u"))); // the first is doubted now, and would not be used at once
+        balancer.targets(List.of(Target.of("u"))); // the first target is suspected now and would not be used at once
         MockHttpServletResponse late = new MockHttpServletResponse();
         MockHttpServletRequest second = new MockHttpServletRequest("POST", "/job");
         second.setAsyncSupported(true);
         second.addHeader("X-Ms", "250");
         filter.doFilter(second, late, chain);
-        next();
-        completed(second);
+        nextAttempt();
+        awaitCompletion(second);
         assertEquals(504, late.getStatus());
         balancer.targets(List.of());
         MockHttpServletResponse refused = new MockHttpServletResponse();
@@ -146,46 +146,46 @@
                         10,
                         Duration.ofSeconds(5))
                 .doFilter(third, refused, chain);
-        completed(third);
+        awaitCompletion(third);
         assertEquals(429, refused.getStatus(), "as configured");
         assertEquals("2", refused.getHeader("Retry-After"), "whole seconds, rounded up");
         assertThrows(IllegalArgumentException.class, () -> new BalancerFilter.Statuses(200, 502, 504, 413));
     }
 
-    /** The host's own time-out fires first: one answer, the job is given up, its late end is dropped. */
+    /** The container's timeout fires first: there is one answer, the job is given up and its late result is dropped. */
     @Test
-    void theContainersTimeOutFiresBeforeOurs() throws Exception {
+    void containerTimeoutBeforeTheOutcomeGivesOneAnswer() throws Exception {
         MockHttpServletRequest request = post("/job", 1, null);
-        Held h = next();
+        PendingAttempt pending = nextAttempt();
         MockAsyncContext context = (MockAsyncContext) request.getAsyncContext();
         for (var listener : List.copyOf(context.getListeners())) {
             listener.onTimeout(new AsyncEvent(context));
         }
         assertEquals(504, response.getStatus());
-        String said = response.getContentAsString();
-        h.answer.complete("late");
-        for (int i = 0; i < 4000 && !h.attempt.cancelled(); i++) {
+        String answer = response.getContentAsString();
+        pending.answer.complete("late");
+        for (int i = 0; i < 4000 && !pending.attempt.cancelled(); i++) {
             Thread.sleep(5);
         }
-        assertTrue(h.attempt.cancelled(), "the sender may stop");
-        assertEquals(said, response.getContentAsString());
+        assertTrue(pending.attempt.cancelled(), "the attempt was not cancelled");
+        assertEquals(answer, response.getContentAsString());
         String figures = balancer.figures().get(20, TimeUnit.SECONDS);
         assertTrue(figures.contains("\"left\":1,"), figures);
         assertTrue(figures.contains("\"answered\":0,"), figures);
     }
 
     @Test
-    void theHostShutsDownWithARequestInFlight() throws Exception {
+    void balancerClosesWithARequestInFlight() throws Exception {
         MockHttpServletRequest request = post("/job", 1, null);
-        next();
+        nextAttempt();
         assertFalse(balancer.close(Duration.ofMillis(50)));
-        completed(request);
-        assertEquals(502, response.getStatus(), "it may have run");
+        awaitCompletion(request);
+        assertEquals(502, response.getStatus(), "the job may have run");
         MockHttpServletResponse after = new MockHttpServletResponse();
         MockHttpServletRequest later = new MockHttpServletRequest("POST", "/job");
         later.setAsyncSupported(true);
         filter.doFilter(later, after, chain);
-        completed(later);
-        assertEquals(503, after.getStatus(), "nothing is taken after the end");
+        awaitCompletion(later);
+        assertEquals(503, after.getStatus(), "no job is accepted after close");
     }
 }
--- a/src/test/java/beechseam/spring/BalancedCallsTest.java
+++ b/src/test/java/beechseam/spring/BalancedCallsTest.java
@@ -20,7 +20,7 @@
 import org.springframework.mock.http.client.MockClientHttpRequest;
 import org.springframework.mock.http.client.MockClientHttpResponse;
 
-/** Calls that a host makes, with the wire played by the test. */
+/** Tests the balancing of HTTP calls, with the responses of targets simulated by the test. */
 class BalancedCallsTest {
     private final List<String> called = Collections.synchronizedList(new ArrayList<>());
     private final Balancer<BalancedCalls.Call, ClientHttpResponse> balancer = Balancer.builder(BalancedCalls.sender())
@@ -40,11 +40,11 @@
         balancer.close(Duration.ZERO);
     }
 
-    private ClientHttpResponse call(String uri, ClientHttpRequestExecution wire) throws Exception {
+    private ClientHttpResponse call(String uri, ClientHttpRequestExecution simulatedTarget) throws Exception {
         return calls.intercept(
                 new MockClientHttpRequest(HttpMethod.POST, URI.create(uri)), new byte[] {1}, (request, body) -> {
                     called.add(request.getURI().toString());
-                    return wire.execute(request, body);
+                    return simulatedTarget.execute(request, body);
                 });
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aCallGoesToATargetAndOthersPass() throws Exception {
+    void callGoesToATargetAndOtherCallsPass() throws Exception {
         ClientHttpResponse r = call("http://lender/read?a=b%20c", (request, body) -> answer(HttpStatus.NOT_FOUND));
         assertEquals(404, r.getStatusCode().value(), "a target's answer, whatever its status");
         assertTrue(called.get(0).matches("http://10\\.0\\.0\\.[12]:8080/read\\?a=b%20c"), called.get(0));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void whatNeverRanGoesElsewhere() throws Exception {
+    void callThatNeverRanIsRetriedElsewhere() throws Exception {
         ClientHttpResponse r = call("http://lender/once", (request, body) -> {
             if (called.size() == 1) {
                 throw new ConnectException("refused");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whatMayHaveRunIsNotRepeatedUnlessItIsSafe() throws Exception {
+    void callThatMayHaveRunIsRetriedOnlyIfIdempotent() throws Exception {
         ClientHttpResponse r = call("http://lender/once", (request, body) -> {
             throw new java.io.IOException("reset");
         });
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aRefusalSaysWhenToComeBack() throws Exception {
+    void refusalCarriesRetryAfter() throws Exception {
         balancer.targets(List.of());
         ClientHttpResponse r = call("http://lender/short", (request, body) -> answer(HttpStatus.OK));
         assertEquals(503, r.getStatusCode().value());
