--- a/src/main/java/beechseam/library/JobType.java
+++ b/src/main/java/beechseam/library/JobType.java
@@ -71,7 +71,10 @@
         }
     }
 
-    /** Creates a non-idempotent type of priority weight 1 whose latency objective is a quarter of its deadline. */
+    /**
+     * Creates a non-idempotent type of priority weight 1. Its latency objective is a quarter of the deadline plus the
+     * run time.
+     */
     public static JobType of(String name, Duration deadline) {
         return new JobType(
                 name,
--- a/src/main/java/beechseam/servlet/BalancerFilter.java
+++ b/src/main/java/beechseam/servlet/BalancerFilter.java
@@ -24,7 +24,7 @@
 /**
  * Servlet filter that dispatches requests through a balancer asynchronously, if the routing maps them to a job
  * type; all other requests continue along the chain. The container's thread only reads the request and dispatches
- * it. Either the balancer answers, or the container when its own timeout fires first: the job is then pending up
+ * it. Either the balancer answers, or the container when its own timeout fires first: the job is then given up
  * and a later outcome is dropped.
  *
  * @param <Q> the payload of a job
