--- a/src/main/java/beechseam/core/Engine.java
+++ b/src/main/java/beechseam/core/Engine.java
@@ -202,7 +202,10 @@
         }
     }
 
-    /** Exports the dispatcher's learned state to the next process; this one then starts no warm-ups for a while. */
+    /**
+     * Exports the dispatcher's learned state for the successor process. For one overload window afterwards this
+     * dispatcher sends nothing to targets that are warming up.
+     */
     public LearnedState exportLearnedState() {
         return context.dispatcher().exportLearnedState(now());
     }
--- a/src/main/java/beechseam/dispatch/ClassRunTimes.java
+++ b/src/main/java/beechseam/dispatch/ClassRunTimes.java
@@ -85,7 +85,8 @@
             hintVariance += (deviation * (logHint - meanLogHint) - hintVariance) * hintGain;
             hintCovariance += (deviation * (logRun - meanLogRun) - hintCovariance) * hintGain;
         }
-        // After calibration the limit is that of the performance indices, so that both adapt alike.
+        // After calibration the limit is that of the performance indices: if only the indices were limited, skewed run
+        // times would make class means and indices drift apart.
         double maxChange = runs > CALIBRATION_RUNS ? PerformanceIndex.MAX_CHANGE : UNLIMITED_CHANGE;
         meanLogRun += Math.max(-maxChange, Math.min(maxChange, logRun - meanLogRun)) * gain;
         meanRunNs += (runNs - meanRunNs) * gain;
--- a/src/main/java/beechseam/dispatch/WorkerState.java
+++ b/src/main/java/beechseam/dispatch/WorkerState.java
@@ -65,7 +65,7 @@
     /** Whether the latest health check is not yet answered. */
     boolean healthCheckPending;
 
-    /** Attempts of this dispatcher in flight at the worker, in the order in which they were sent. */
+    /** {@link JobLifecycle} and {@link Dispatcher}: attempts in flight, in the order in which they were sent. */
     final List<Attempt> inFlight = new ArrayList<>();
 
     WorkerState(WorkerEndpoint endpoint, PerformanceIndex kind) {
